--- a/tests/process/router/quarantineKeeper.test.ts
+++ b/tests/process/router/quarantineKeeper.test.ts
@@ -12,9 +12,9 @@
     const log = RecordingEventLog.create();
     const quarantine = RequestQuarantine.create({ log, getAliveTime: () => -Infinity });
     const calls = { stale: 0 };
-    const getStale = (ofKey: string) => {
+    const getStale = (requestedKey: string) => {
         calls.stale += 1;
-        return store.get(ofKey);
+        return store.get(requestedKey);
     };
     const compareAndSwap = store.compareAndSwap.bind(store);
     const get = store.get.bind(store);
@@ -31,7 +31,7 @@
 }
 
 describe("QuarantineKeeper", () => {
-    it("brings a node that starts what the others held back, for the rest of its time", async () => {
+    it("loads what other nodes quarantined, for the remaining time, when a node starts", async () => {
         const store = MemoryStore.create();
         const clock = FakeClock.create();
         const first = createNode(store, clock);
@@ -43,7 +43,7 @@
         assert.equal(second.getRemaining("harmful"), 39_990);
     });
 
-    it("keeps what several nodes hold back at the same time", async () => {
+    it("saves what several nodes quarantine at the same time", async () => {
         const store = MemoryStore.create();
         const clock = FakeClock.create();
         createNode(store, clock).hold("a");
@@ -56,7 +56,7 @@
         assert.ok(later.getRemaining("b") !== undefined);
     });
 
-    it("goes on trying where the store is down, and where an answer is lost", async () => {
+    it("retries if the store is down or a response is lost", async () => {
         const store = MemoryStore.create();
         const clock = FakeClock.create();
         const first = createNode(store, clock);
@@ -72,7 +72,7 @@
         assert.ok(second.getRemaining("harmful") !== undefined);
     });
 
-    it("makes one cheap call at a start, and none besides while nothing is held back", async () => {
+    it("makes one cheap call at start, and no others while nothing is quarantined", async () => {
         const store = MemoryStore.create();
         const clock = FakeClock.create();
         const { keeper, calls } = createNode(store, clock);
@@ -83,7 +83,7 @@
         assert.equal(store.getCallCount("compareAndSwap"), 0);
     });
 
-    it("writes a record anew that can't be read", async () => {
+    it("overwrites an invalid record", async () => {
         const store = MemoryStore.create();
         const clock = FakeClock.create();
         await store.compareAndSwap(key, 0, "{");
--- a/tests/process/router/shouldFetch.test.ts
+++ b/tests/process/router/shouldFetch.test.ts
@@ -5,17 +5,17 @@
 describe("shouldFetch", () => {
     const ahead = { isFetching: false, isEmpty: false, isNear: false, isHub: false, behindMilliseconds: 0 };
 
-    it("fetches once at a time", () => {
+    it("allows one fetch at a time", () => {
         assert.equal(shouldFetch({ ...ahead, isFetching: true, isNear: true, isEmpty: true }), false);
     });
 
-    it("fetches at once from the same data centre, as a hub, and where nothing is known", () => {
+    it("fetches immediately from the same data centre, as a hub, and without a copy", () => {
         assert.equal(shouldFetch({ ...ahead, isNear: true }), true);
         assert.equal(shouldFetch({ ...ahead, isHub: true }), true);
         assert.equal(shouldFetch({ ...ahead, isEmpty: true }), true);
     });
 
-    it("leaves it to the hubs to bring changes from another data centre, but not for long", () => {
+    it("leaves fetching from another data centre to the hubs for a limited time", () => {
         assert.equal(shouldFetch({ ...ahead, behindMilliseconds: 300 }), false);
         assert.equal(shouldFetch({ ...ahead, behindMilliseconds: 1_000 }), true);
     });
--- a/tests/process/router/storeFollowing.test.ts
+++ b/tests/process/router/storeFollowing.test.ts
@@ -16,7 +16,7 @@
         owners = await RendezvousOwners.create();
     });
 
-    /** Starts a node that hears of others in each step, from peers whose copies are current. */
+    /** Starts a node that in each step hears from the other nodes, whose copies are current. */
     function start({ otherCount, hasWork = false, isSeed = false }: {
         otherCount: number;
         hasWork?: boolean;
@@ -38,7 +38,7 @@
             random: () => 0.5,
             log,
         });
-        const following = StoreFollowing.create({
+        const controller = StoreFollowing.create({
             nodeId: "own",
             clock,
             nodes,
@@ -56,8 +56,8 @@
             isSeed,
             hasPlacementWork: () => hasWork,
         });
-        following.start();
-        const pass = async (milliseconds: number) => {
+        controller.start();
+        const advance = async (milliseconds: number) => {
             for (let passed = 0; passed < milliseconds; passed += 50) {
                 for (let index = 0; index < otherCount; index++) {
                     const heardAt = clock.getMonotonicTime();
@@ -69,48 +69,48 @@
                         heardAt,
                     });
                 }
-                following.notePeerFresh(clock.getMonotonicTime());
+                controller.notePeerFresh(clock.getMonotonicTime());
                 await clock.advance(50);
             }
         };
-        return { store, following, leaseCalls, pass };
+        return { store, controller, leaseCalls, advance };
     }
 
-    it("reads the store once at a start and leaves it to others to follow, where there are many", async () => {
-        const { store, pass } = start({ otherCount: 194 });
-        await pass(10_000);
+    it("reads the store once at start and leaves watching it to others in a large deployment", async () => {
+        const { store, advance } = start({ otherCount: 194 });
+        await advance(10_000);
         assert.equal(store.reads, 1);
         assert.ok(store.waits <= 1, `${store.waits} waits`);
     });
 
-    it("follows the store where there are few nodes", async () => {
-        const { store, following, pass } = start({ otherCount: 8 });
-        await pass(3_000);
-        assert.equal(following.isStoreWatcher(), true);
+    it("watches the store in a small deployment", async () => {
+        const { store, controller, advance } = start({ otherCount: 8 });
+        await advance(3_000);
+        assert.equal(controller.isStoreWatcher(), true);
         assert.ok(store.waits > 1);
     });
 
-    it("follows at once where the others' settings name it", async () => {
-        const { following, pass } = start({ otherCount: 2, isSeed: true });
-        await pass(300);
-        assert.equal(following.isStoreWatcher(), true);
+    it("watches the store immediately as a seed", async () => {
+        const { controller, advance } = start({ otherCount: 2, isSeed: true });
+        await advance(300);
+        assert.equal(controller.isStoreWatcher(), true);
     });
 
-    it("seeks the lease while there is an order to give, and lets it rest otherwise", async () => {
+    it("acquires the lease while there is an order to send, and releases it otherwise", async () => {
         const idle = start({ otherCount: 8 });
-        await idle.pass(4_000);
+        await idle.advance(4_000);
         assert.equal(idle.leaseCalls.at(-1), "rest");
         assert.ok(!idle.leaseCalls.includes("start"));
         const busy = start({ otherCount: 8, hasWork: true });
-        await busy.pass(4_000);
+        await busy.advance(4_000);
         assert.equal(busy.leaseCalls.at(-1), "start");
     });
 
-    it("does not seek the lease while the store refuses it", async () => {
-        const { store, leaseCalls, pass } = start({ otherCount: 8, hasWork: true });
-        await pass(4_000);
+    it("does not try to acquire the lease while the store refuses the node", async () => {
+        const { store, leaseCalls, advance } = start({ otherCount: 8, hasWork: true });
+        await advance(4_000);
         store.isDown = true;
-        await pass(3_000);
+        await advance(3_000);
         assert.equal(leaseCalls.at(-1), "pause");
     });
 });
--- a/tests/process/router/storeProbe.test.ts
+++ b/tests/process/router/storeProbe.test.ts
@@ -4,7 +4,7 @@
 import { FakeClock } from "../../support/fakeClock.ts";
 
 describe("StoreProbe", () => {
-    it("knows within a second that the store no longer answers, and again that it does", async () => {
+    it("detects within a second that the store no longer answers, and that it answers again", async () => {
         const clock = FakeClock.create();
         let isAnswering = true;
         const probe = StoreProbe.create({ intervalMilliseconds: 450, clock, callStore: async () => isAnswering });
@@ -22,7 +22,7 @@
         probe.setActive(false);
     });
 
-    it("makes one call at a time, also where it is stopped and started while one is under way", async () => {
+    it("makes one call at a time, even if it is stopped and started while one is in flight", async () => {
         const clock = FakeClock.create();
         let open = 0;
         let most = 0;
