--- a/src/request/relay/pipeLoad.ts
+++ b/src/request/relay/pipeLoad.ts
@@ -1,22 +1,22 @@
-/** What this node has sent between data centres counts for this long, on average. */
-const memoryMilliseconds = 2_000;
-const secondMilliseconds = 1_000;
+/** Time constant of the moving average. */
+const averagingMilliseconds = 2_000;
+const millisecondsPerSecond = 1_000;
 
-/** How many bits of activations this node's requests move between data centres, as a moving average. */
+/** Moving average of the activation traffic between data centres that this node's requests cause. */
 export class PipeLoad {
     private bits = 0;
     private updatedAt = 0;
 
     private constructor() {}
 
-    /** Creates a record without traffic. */
+    /** Creates an average without traffic. */
     static create(): PipeLoad {
         return new PipeLoad();
     }
 
     /**
-     * Notes what a request moves.
-     * @param bits - Bits over all its crossings.
+     * Adds the traffic of a request.
+     * @param bits - Bits over all links that the request's chain crosses.
      * @param now - Monotonic time in milliseconds.
      */
     add(bits: number, now: number): void {
@@ -24,12 +24,12 @@
         this.updatedAt = now;
     }
 
-    /** Gets the moving average, in bits a second. */
+    /** Gets the moving average, in bits per second. */
     getRate(now: number): number {
-        return this.getBits(now) / (memoryMilliseconds / secondMilliseconds);
+        return this.getBits(now) / (averagingMilliseconds / millisecondsPerSecond);
     }
 
     private getBits(now: number): number {
-        return this.bits * Math.exp(-(now - this.updatedAt) / memoryMilliseconds);
+        return this.bits * Math.exp(-(now - this.updatedAt) / averagingMilliseconds);
     }
 }
--- a/src/request/relay/pipeShares.ts
+++ b/src/request/relay/pipeShares.ts
@@ -2,34 +2,34 @@
 import { formatCrossing } from "./formatCrossing.ts";
 import { getCrossingBits } from "./getCrossingBits.ts";
 
-/** Bits of a megabit a second that pass in a millisecond. */
-const bitsOfMillisecond = 1_000;
+/** Bits per millisecond at a bandwidth of one megabit per second. */
+const bitsPerMillisecond = 1_000;
 /**
- * Part of a pipe that is given to requests. With more of it, prompts wait for each other for longer than an objective allows, and
- * the tokens of streams that run wait behind them.
+ * Fraction of a link's bandwidth that requests may use. With more, prompts queue behind each other for longer than a latency objective
+ * allows, and the tokens of running streams queue behind them.
  */
-const usablePart = 0.7;
+const usableFraction = 0.7;
 
-/** What this node has sent over one pipe. */
-interface PipeUse {
-    /** When this node's part of the pipe is free again. */
+/** This node's use of one link. */
+interface LinkUse {
+    /** Monotonic time in milliseconds at which this node's share of the link is free again. */
     freeAt: number;
-    /** How much of that the last request takes. */
+    /** Time that the last request occupies the share for. */
     lastMilliseconds: number;
 }
 
 /**
- * This node's part of what the pipes between data centres carry.
+ * Paces this node's requests over the links between data centres, so that all nodes together stay within the links' bandwidth.
  *
- * The load that it answers: endpoints are lost, so that most chains cross between data centres at once. All nodes share each pipe,
- * and one prompt occupies it for as long as hundreds of tokens do. Without a bound, prompts of requests that are lost already fill
- * it, nothing else gets through, and all callers leave. Each direction has its own pipe; what a node starts over it is spaced so
- * that all nodes together stay within it. What goes over it all the same, such as a stream that must move, delays what comes next.
+ * This matters when endpoints are lost and most chains cross between data centres at once. All nodes share each link, and one prompt
+ * occupies it for as long as hundreds of tokens do. Without pacing, prompts of requests that are already too late fill the
+ * link, nothing else gets through, and all callers give up. Each direction counts as a separate link. Traffic that can't wait, such as
+ * a stream that has to move, is counted too and delays the requests after it.
  *
- * A function of its state and of what it is told. Times are monotonic, in milliseconds.
+ * Deterministic: depends only on its state and arguments. Times are monotonic, in milliseconds.
  */
 export class PipeShares {
-    private readonly uses = new Map<string, PipeUse>();
+    private readonly uses = new Map<string, LinkUse>();
     private readonly getShare: () => number;
 
     private constructor(getShare: () => number) {
@@ -37,16 +37,16 @@
     }
 
     /**
-     * Creates the shares of a node that has used no pipe.
-     * @param getShare - Gets this node's part of the demand of all nodes, above 0 and at most 1.
+     * Creates the pacing of a node that has not used any link.
+     * @param getShare - Gets this node's share of the demand of all nodes, above 0 and at most 1.
      */
     static create(getShare: () => number): PipeShares {
         return new PipeShares(getShare);
     }
 
     /**
-     * Gets how long a request that may wait should, until it uses the pipe from one data centre to another. A node may be one request
-     * ahead of its part: requests come to a single node in bursts, which level out over all.
+     * Gets how long a request should wait before it uses the link from one data centre to another, in milliseconds. A node may be one
+     * request ahead of its share, since requests arrive at a single node in bursts that even out over all nodes.
      */
     getWait(from: string, to: string, now: number): number {
         const use = this.uses.get(formatCrossing(from, to));
@@ -54,18 +54,18 @@
     }
 
     /**
-     * Counts tokens that move over a pipe.
-     * @param from - Data centre that they leave.
-     * @param to - Data centre that they come to.
-     * @param model - Figures of the model.
+     * Reserves time on a link for the transfer of tokens.
+     * @param from - Source data centre.
+     * @param to - Destination data centre.
+     * @param model - Parameters of the model.
      * @param tokens - Tokens of the whole request, or of the context that is moved.
      * @param now - Monotonic time in milliseconds.
      */
     take(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
-        const rate = model.pipeMegabits * bitsOfMillisecond * usablePart * this.getShare();
-        const way = formatCrossing(from, to);
-        const start = Math.max(now, this.uses.get(way)?.freeAt ?? now);
+        const rate = model.pipeMegabits * bitsPerMillisecond * usableFraction * this.getShare();
+        const key = formatCrossing(from, to);
+        const start = Math.max(now, this.uses.get(key)?.freeAt ?? now);
         const lastMilliseconds = getCrossingBits(model, tokens) / rate;
-        this.uses.set(way, { freeAt: start + lastMilliseconds, lastMilliseconds });
+        this.uses.set(key, { freeAt: start + lastMilliseconds, lastMilliseconds });
     }
 }
--- a/src/request/relay/quarantine/endedRun.ts
+++ b/src/request/relay/quarantine/endedRun.ts
@@ -1,8 +1,8 @@
-/** An endpoint that ended, as it seems, soon after it began to run a request. */
+/** A suspected crash of an endpoint shortly after it began to run a request. */
 export interface EndedRun {
-    /** What the request is recognized by, whoever sends it on; see `fingerprintRequest`. */
+    /** Identifies the request independently of the node that forwards it; see `fingerprintRequest`. */
     fingerprint: string;
     endpointId: string;
-    /** Monotonic time at which its connection broke, in milliseconds. */
+    /** Monotonic time at which the connection broke, in milliseconds. */
     at: number;
 }
--- a/src/request/relay/quarantine/requestHold.ts
+++ b/src/request/relay/quarantine/requestHold.ts
@@ -1,6 +1,6 @@
-/** Why and for how long a request isn't sent on. */
+/** Why and for how long a request is held back. */
 export interface RequestHold {
-    /** Ids of the endpoints that ended while they ran it. */
+    /** Ids of the endpoints that crashed while they ran the request. */
     endpointIds: string[];
     remainingMilliseconds: number;
 }
--- a/src/request/relay/quarantine/requestQuarantine.ts
+++ b/src/request/relay/quarantine/requestQuarantine.ts
@@ -7,46 +7,47 @@
 /** Options of a {@link RequestQuarantine}. */
 interface RequestQuarantineOptions {
     log: EventLog;
-    /** Gets the monotonic time in milliseconds of an endpoint's last sign of life; -Infinity where none is known. */
+    /** Gets the monotonic time in milliseconds at which an endpoint was last seen alive; -Infinity if never. */
     getAliveTime(endpointId: string): number;
-    /** Called when an endpoint seems to have ended, which peers must hear at once, and whether its request is held back. */
+    /** Called when an endpoint seems to have crashed, with whether the request is held back. Peers must be informed immediately. */
     onEnded?(isHeldBack: boolean): void;
 }
 
-/** Ended endpoints by their id, with the time at which their connection broke. */
-type EndedEndpoints = Map<string, number>;
+/** Times at which the connections to crashed endpoints broke, by endpoint id. */
+type CrashTimes = Map<string, number>;
 
 /**
- * So many endpoints must have ended under a request. One says little: all that it was just beginning to run are suspected,
- * and nearly all of them are innocent. To go on after the second costs one endpoint more for each sending.
+ * Minimum number of crashed endpoints for a request to be held back. A single crash is weak evidence: all requests that the
+ * endpoint was just beginning to run are suspected, and nearly all of them are harmless. Continuing after the second crash costs
+ * another endpoint for each attempt.
  */
-const fewestEndpoints = 2;
-/** After more than the fewest endpoints it isn't by chance. */
-const certainEndpoints = 3;
-/** An innocent request that was with a harmful one twice is tried again after this time. */
+const minimumCrashes = 2;
+/** From this number of crashes on, the cause is not a coincidence. */
+const certainCrashes = 3;
+/** A harmless request that was on the same endpoint as a harmful one twice is allowed again after this time. */
 const shortHoldMilliseconds = 60_000;
 const longHoldMilliseconds = 600_000;
-/** What an endpoint sent before it ended may still be read for this long, and is no sign that it lives. */
-const lateReadingMilliseconds = 500;
-/** All nodes hear of a suspicion within this time, after which only requests that are held back are told of. */
-const newsMilliseconds = 5_000;
-/** Bound on a message between nodes, and on what is kept in the store. */
-const mostListedRuns = 100;
-/** Bounds on what is remembered, in requests. */
-const mostSuspects = 1_000;
-const mostServed = 4_096;
+/** Data that an endpoint sent before it crashed may still be read for this long, and does not prove that it is alive. */
+const lateDataMilliseconds = 500;
+/** A suspected crash reaches all nodes within this time. Afterwards only the crashes of requests that are held back are announced. */
+const announcementMilliseconds = 5_000;
+/** Limits the size of messages between nodes and of the stored record. */
+const maximumListedCrashes = 100;
+/** Maximum numbers of tracked requests. */
+const maximumSuspectRequests = 1_000;
+const maximumSafeRequests = 4_096;
 
 /**
- * Remembers under which requests endpoints ended, whichever node and whichever sending of the caller it was, and holds a
- * request back that ends the endpoints which run it. Without this it is sent to one endpoint after the other, by repeats of
- * the nodes and of its caller, until none is left that chains begin with.
+ * Holds back requests that crash the endpoints that run them. Tracks suspected crashes by request, across all nodes and all
+ * retries of the caller. Otherwise retries by nodes and callers would send such a request to one endpoint after another,
+ * until no endpoint is left that can be the first stage of a chain.
  */
 export class RequestQuarantine {
     private readonly options: RequestQuarantineOptions;
     /** By fingerprint. */
-    private readonly suspects = new LRUCache<string, EndedEndpoints>({ max: mostSuspects });
-    /** Fingerprints of requests that an endpoint has run and outlived: whatever ended others, it was not these. */
-    private readonly served = new LRUCache<string, true>({ max: mostServed });
+    private readonly suspectRequests = new LRUCache<string, CrashTimes>({ max: maximumSuspectRequests });
+    /** Fingerprints of requests that an endpoint has run without crashing, so that they did not cause other crashes. */
+    private readonly safeRequests = new LRUCache<string, true>({ max: maximumSafeRequests });
 
     private constructor(options: RequestQuarantineOptions) {
         this.options = options;
@@ -58,95 +59,95 @@
     }
 
     /**
-     * Notes that an endpoint seems to have ended while it began to run a request. This counts until the endpoint shows that
-     * it lives.
-     * @param run - What was seen.
-     * @param requestId - Id of this sending, for the log.
+     * Records that an endpoint seems to have crashed when it began to run a request. The record is dropped if the endpoint
+     * turns out to be alive.
+     * @param crash - The suspected crash.
+     * @param requestId - Id of this attempt, for the log.
      */
-    noteEnded(run: EndedRun, requestId: string): void {
-        if (!this.add(run)) {
+    noteEnded(crash: EndedRun, requestId: string): void {
+        if (!this.addCrash(crash)) {
             return;
         }
-        const { fingerprint, endpointId, at } = run;
+        const { fingerprint, endpointId, at } = crash;
         const isHeldBack = this.getHold(fingerprint, at) !== undefined;
         const details = { request: requestId, fingerprint, endpoint: endpointId, isHeldBack };
         this.options.log.write(events.endpointEndedUnderRequest, details);
         this.options.onEnded?.(isHeldBack);
     }
 
-    /** Takes over what a peer has seen. */
-    takeRun(run: EndedRun): void {
-        this.add(run);
+    /** Adds a suspected crash that a peer reported. */
+    takeRun(crash: EndedRun): void {
+        this.addCrash(crash);
     }
 
-    /** Notes that an endpoint has run a request and lives on, which clears it of all suspicion. */
+    /** Records that an endpoint has run a request without crashing, which clears the request of all suspicion. */
     noteServed(fingerprint: string): void {
-        this.suspects.delete(fingerprint);
-        this.served.set(fingerprint, true);
+        this.suspectRequests.delete(fingerprint);
+        this.safeRequests.set(fingerprint, true);
     }
 
     /**
-     * Gets why a request isn't sent on; undefined where it may be.
-     * @param fingerprint - What it is recognized by.
+     * Gets why a request is held back; undefined if it may be sent.
+     * @param fingerprint - Fingerprint of the request.
      * @param now - Monotonic time in milliseconds.
      */
     getHold(fingerprint: string, now: number): RequestHold | undefined {
-        const endpoints = this.suspects.get(fingerprint);
+        const endpoints = this.suspectRequests.get(fingerprint);
         return endpoints === undefined ? undefined : this.findHold(endpoints, now);
     }
 
-    /** Gets what peers have to know: what is new, and all of requests that are held back, for nodes that have just started. */
+    /** Gets the crashes to announce to peers: recent ones, and those of held-back requests for nodes that have just started. */
     getRuns(now: number): EndedRun[] {
-        return this.listRuns(now, newsMilliseconds);
+        return this.listCrashes(now, announcementMilliseconds);
     }
 
-    /** Gets what is known of the requests that are held back. */
+    /** Gets the crashes of requests that are held back. */
     getHeldRuns(now: number): EndedRun[] {
-        return this.listRuns(now, 0);
+        return this.listCrashes(now, 0);
     }
 
-    /** Lists the runs of requests that are held back, and all that ended lately. */
-    private listRuns(now: number, youngerThanMilliseconds: number): EndedRun[] {
-        const runs: EndedRun[] = [];
-        for (const [fingerprint, endpoints] of this.suspects.entries()) {
+    /** Lists the crashes of requests that are held back, and all recent crashes. */
+    private listCrashes(now: number, maximumAgeMilliseconds: number): EndedRun[] {
+        const crashes: EndedRun[] = [];
+        for (const [fingerprint, endpoints] of this.suspectRequests.entries()) {
             const isHeld = this.findHold(endpoints, now) !== undefined;
             for (const [endpointId, at] of endpoints) {
-                if (isHeld || now - at < youngerThanMilliseconds) {
-                    runs.push({ fingerprint, endpointId, at });
+                if (isHeld || now - at < maximumAgeMilliseconds) {
+                    crashes.push({ fingerprint, endpointId, at });
                 }
             }
-            if (runs.length >= mostListedRuns) {
+            if (crashes.length >= maximumListedCrashes) {
                 break;
             }
         }
-        return runs;
+        return crashes;
     }
 
-    /** Whether this was news. */
-    private add({ fingerprint, endpointId, at }: EndedRun): boolean {
-        const endpoints: EndedEndpoints = this.suspects.get(fingerprint) ?? new Map();
-        if (this.served.has(fingerprint) || endpoints.has(endpointId)) {
+    /** Adds a suspected crash. Returns whether it is new. */
+    private addCrash({ fingerprint, endpointId, at }: EndedRun): boolean {
+        const endpoints: CrashTimes = this.suspectRequests.get(fingerprint) ?? new Map();
+        if (this.safeRequests.has(fingerprint) || endpoints.has(endpointId)) {
             return false;
         }
         endpoints.set(endpointId, at);
-        this.suspects.set(fingerprint, endpoints);
+        this.suspectRequests.set(fingerprint, endpoints);
         return true;
     }
 
-    private findHold(endpoints: EndedEndpoints, now: number): RequestHold | undefined {
-        this.forgetAlive(endpoints, now);
-        if (endpoints.size < fewestEndpoints) {
+    private findHold(endpoints: CrashTimes, now: number): RequestHold | undefined {
+        this.removeStale(endpoints, now);
+        if (endpoints.size < minimumCrashes) {
             return undefined;
         }
-        const hold = endpoints.size < certainEndpoints ? shortHoldMilliseconds : longHoldMilliseconds;
+        const hold = endpoints.size < certainCrashes ? shortHoldMilliseconds : longHoldMilliseconds;
         const remainingMilliseconds = Math.max(...endpoints.values()) + hold - now;
         return remainingMilliseconds > 0 ? { endpointIds: [...endpoints.keys()], remainingMilliseconds } : undefined;
     }
 
-    /** Forgets endpoints that have shown that they live, and those that ended long ago. */
-    private forgetAlive(endpoints: EndedEndpoints, now: number): void {
+    /** Removes endpoints that turned out to be alive, and crashes that happened long ago. */
+    private removeStale(endpoints: CrashTimes, now: number): void {
         for (const [endpointId, at] of endpoints) {
-            const isAlive = this.options.getAliveTime(endpointId) > at + lateReadingMilliseconds;
+            const isAlive = this.options.getAliveTime(endpointId) > at + lateDataMilliseconds;
             if (isAlive || now - at > longHoldMilliseconds) {
                 endpoints.delete(endpointId);
             }
--- a/src/request/relay/quarantine/taskQuarantine.ts
+++ b/src/request/relay/quarantine/taskQuarantine.ts
@@ -3,26 +3,26 @@
 import type { RelayTask } from "../relayTask.ts";
 import type { RequestHold } from "./requestHold.ts";
 
-/** A connection that broke sooner after the sending was to an endpoint that had ended already, so that nothing ran. */
-const shortestRunMilliseconds = 10;
+/** If a connection breaks sooner than this after sending, the endpoint had already crashed before it could run the request. */
+const minimumRunMilliseconds = 10;
 
-/** What one sending of a request tells the quarantine, and asks it. */
+/** Connects a forwarded request to the {@link RequestQuarantine} of the node. */
 export class TaskQuarantine {
     private readonly environment: RelayEnvironment;
     private readonly task: RelayTask;
-    private isOutlived = false;
+    private isSafe = false;
 
     private constructor(environment: RelayEnvironment, task: RelayTask) {
         this.environment = environment;
         this.task = task;
     }
 
-    /** Creates it for a request that was not sent on yet. */
+    /** Creates the connection for a request that was not forwarded yet. */
     static create(environment: RelayEnvironment, task: RelayTask): TaskQuarantine {
         return new TaskQuarantine(environment, task);
     }
 
-    /** Gets why the request isn't sent on; undefined where it may be. */
+    /** Gets why the request is held back; undefined if it may be sent. */
     getHold(): RequestHold | undefined {
         const { quarantine, log, clock } = this.environment;
         const { request, fingerprint } = this.task;
@@ -38,22 +38,22 @@
         return hold;
     }
 
-    /** Notes that an endpoint has run the request and lives on, so that this request isn't what ends others. */
+    /** Records that an endpoint has run the request without crashing, so that the request is not the cause of other crashes. */
     noteOutlived(): void {
-        if (!this.isOutlived) {
-            this.isOutlived = true;
+        if (!this.isSafe) {
+            this.isSafe = true;
             this.environment.quarantine.noteServed(this.task.fingerprint);
         }
     }
 
     /**
-     * Suspects the request of having ended an endpoint, where it had just begun to run there.
-     * @param endpointId - The endpoint that seems to have ended.
-     * @param sentAt - Monotonic time in milliseconds at which it got the request.
+     * Records a suspected crash, if the request had just begun to run on the endpoint.
+     * @param endpointId - Id of the endpoint that seems to have crashed.
+     * @param sentAt - Monotonic time in milliseconds at which the request was sent to it.
      */
     noteEnded(endpointId: string, sentAt: number): void {
         const at = this.environment.clock.getMonotonicTime();
-        if (!this.isOutlived && at - sentAt >= shortestRunMilliseconds) {
+        if (!this.isSafe && at - sentAt >= minimumRunMilliseconds) {
             const { fingerprint, request } = this.task;
             this.environment.quarantine.noteEnded({ fingerprint, endpointId, at }, request.id);
         }
--- a/src/request/relay/queuedRelay.ts
+++ b/src/request/relay/queuedRelay.ts
@@ -1,11 +1,11 @@
 import type { StartRequest } from "../admission/start/startRequest.ts";
 import type { RelayPlace } from "./relayPlace.ts";
 
-/** A request that asks for a chain, and what is to be done once that is decided. */
+/** A request that needs a chain, with the callbacks for the queue's decision. */
 export interface QueuedRelay extends StartRequest<RelayPlace> {
     requestId: string;
-    /** A chain is taken for it. */
+    /** Called with the chain that was reserved for the request. */
     start(place: RelayPlace): void;
-    /** It is turned away. */
+    /** Called when the request is rejected. */
     refuse(cause: string, retryAfterMilliseconds: number): void;
 }
--- a/src/request/relay/refusalReason.ts
+++ b/src/request/relay/refusalReason.ts
@@ -1,18 +1,18 @@
-/** Why a request ends without an endpoint's answer. */
+/** Reasons for which a request ends without an endpoint's answer. */
 export const RefusalReason = {
-    /** The request can't be read as one. */
+    /** The request can't be parsed. */
     Malformed: "malformed",
     /** No customer has the API key. */
     UnknownKey: "unknownKey",
-    /** No route fits the host and path. */
+    /** No route matches the host and path. */
     NoRoute: "noRoute",
-    /** No endpoint has run the request, and none will. */
+    /** No endpoint has run the request or will run it. */
     NotRun: "notRun",
-    /** Endpoints ended while they ran the same request before; this sending has not run, and won't. */
+    /** Endpoints crashed while they ran the same request before; this attempt has not run and will not run. */
     HeldBack: "heldBack",
-    /** An endpoint may have run the request; its answer is missing. */
+    /** An endpoint may have run the request, but its answer is missing. */
     OutcomeUnknown: "outcomeUnknown",
-    /** The route's time is over. An endpoint may have run the request. */
+    /** The route's timeout has expired. An endpoint may have run the request. */
     TimedOut: "timedOut",
 } as const;
 export type RefusalReason = typeof RefusalReason[keyof typeof RefusalReason];
--- a/src/request/relay/refusalWatch.ts
+++ b/src/request/relay/refusalWatch.ts
@@ -7,61 +7,61 @@
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 
 /** Options of a {@link RefusalWatch}. */
-interface RefusalWatchOptions {
+interface RefusalDetectorOptions {
     health: EndpointHealth;
     clock: Pick<Clock, "getMonotonicTime" | "setTimer">;
     log: EventLog;
-    /** Asks an endpoint for its report; undefined where it doesn't answer. */
+    /** Fetches an endpoint's report. Returns undefined if the endpoint doesn't answer. */
     fetchReport(endpoint: RegisteredEndpoint): Promise<EndpointReport | undefined>;
-    /** Called when it was found out of an endpoint that it refuses all new requests. */
+    /** Called when an endpoint is newly found to refuse all requests. */
     onFound(): void;
 }
 
 /**
- * Reports are older than a refusal by less than this. An endpoint that others have just filled shows room in the first one, and to keep
- * all nodes away from it would waste what is left after a loss.
+ * Delay before a report is fetched for the second time; a report lags behind a refusal by less than this. The first report of an endpoint
+ * that other nodes have just filled still shows room, and avoiding that endpoint would waste capacity that is scarce after a loss.
  */
-const secondLookMilliseconds = 200;
+const recheckDelayMilliseconds = 200;
 
 /**
- * Finds out which endpoints refuse all new requests, and has the peers told.
+ * Detects endpoints that refuse all new requests, so that peers can be informed.
  *
- * The load that it answers: many endpoints leave at once while the store, which would tell of it, is away. Each node then finds each
- * of them by requests that are refused, again each time it looks whether the endpoint is back; what all nodes may repeat together is
- * used up by that, and requests are turned away that other endpoints have room for.
+ * This matters when many endpoints drain at once while the store that would announce it is unavailable. Otherwise each node discovers
+ * each of these endpoints by refused requests, again on every check whether the endpoint is back. This uses up the retry budget of all
+ * nodes, and requests are rejected although other endpoints have room for them.
  */
 export class RefusalWatch {
-    private readonly options: RefusalWatchOptions;
-    private readonly asking = new Set<string>();
+    private readonly options: RefusalDetectorOptions;
+    private readonly checking = new Set<string>();
 
-    private constructor(options: RefusalWatchOptions) {
+    private constructor(options: RefusalDetectorOptions) {
         this.options = options;
     }
 
-    /** Creates a watch that has seen no refusal. */
-    static create(options: RefusalWatchOptions): RefusalWatch {
+    /** Creates a detector without refusals. */
+    static create(options: RefusalDetectorOptions): RefusalWatch {
         return new RefusalWatch(options);
     }
 
-    /** Notes that an endpoint refused a request although room was expected there, and asks it why. */
+    /** Checks why an endpoint refused a request although it was expected to have room. */
     async note(endpoint: RegisteredEndpoint): Promise<void> {
         const { id } = endpoint;
-        if (this.asking.has(id)) {
+        if (this.checking.has(id)) {
             return;
         }
-        this.asking.add(id);
+        this.checking.add(id);
         let report = await this.options.fetchReport(endpoint);
         if (isRefusalLasting(report)) {
             await this.wait();
             report = await this.options.fetchReport(endpoint);
         }
-        this.asking.delete(id);
+        this.checking.delete(id);
         this.decide(id, report);
     }
 
     private wait(): Promise<void> {
         return new Promise(resolve => {
-            this.options.clock.setTimer(secondLookMilliseconds, resolve);
+            this.options.clock.setTimer(recheckDelayMilliseconds, resolve);
         });
     }
 
--- a/src/request/relay/registeredEndpoint.ts
+++ b/src/request/relay/registeredEndpoint.ts
@@ -2,22 +2,22 @@
 
 /** An endpoint as it registered itself in the platform's store. */
 export interface RegisteredEndpoint {
-    /** New with each start of the endpoint: its registered id and its incarnation. */
+    /** Registered id and incarnation, so that it is new with each start of the endpoint. */
     id: string;
-    /** Id under which it registered; an endpoint may start again under the id that it had. */
+    /** Id under which it registered. An endpoint may restart under the same id. */
     registeredId: string;
-    /** When it started, in Unix milliseconds: the higher one is the later start; 0 where it doesn't say. */
+    /** Start time in Unix milliseconds, so that a later start has a higher value; 0 if unknown. */
     incarnation: number;
     service: string;
     /** host:port. */
     address: string;
     dataCentre: string;
-    /** Requests that it runs at the same time. */
+    /** Maximum number of concurrent requests. */
     slots: number;
-    /** Whether it is leaving and takes no new requests. */
+    /** Whether it is shutting down and accepts no new requests. */
     isDraining: boolean;
-    /** Name of its kind of accelerator; undefined for an endpoint of a document service. */
+    /** Name of the accelerator kind; undefined for an endpoint of a document service. */
     kind: string | undefined;
-    /** Layers that it holds; undefined while it holds none. */
+    /** Layers that it has loaded; undefined if none. */
     layers: HeldLayers | undefined;
 }
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -13,33 +13,33 @@
 import type { RelayTask } from "./relayTask.ts";
 import type { StageQuery } from "./stageQuery.ts";
 
-/** What a chain must be like. */
-interface ChainWish {
-    /** Ids of endpoints that it does without. */
+/** Requirements for a chain. */
+interface ChainRequirements {
+    /** Ids of endpoints that the chain must not use. */
     avoid: ReadonlySet<string>;
-    /** First stage that it begins with, where a running request moves. */
+    /** First stage of the chain, if a running request moves. */
     firstStage?: RelayStage;
-    /** Whether endpoints without room for the request may be part of it. */
+    /** Whether endpoints without room for the request may be used. */
     mayOverfill: boolean;
-    /** Part of each endpoint's memory that must stay free for others. Default: 0. */
+    /** Fraction of each endpoint's memory that must stay free for other requests. Default: 0. */
     sparePart?: number;
-    /** Ids of endpoints whose limits have left the request no place. */
+    /** Ids of endpoints whose rate limits rejected the request. */
     closed?: ReadonlySet<string>;
 }
 
-/** What a chain must be like for a request that is to be sent over it. */
-interface OpenChainWish extends ChainWish {
-    /** Ids of endpoints whose limits have left the request no place; grows. */
+/** Requirements for a chain that the request is sent over, within the endpoints' rate limits. */
+interface LimitedChainRequirements extends ChainRequirements {
+    /** Ids of endpoints whose rate limits rejected the request. The search adds to it. */
     closed: Set<string>;
 }
 
-const bitsOfMegabit = 1_000_000;
-/** A request asks at so many limited endpoints at most; where all are limited, to ask at each would cost the node a search each. */
-const mostLimitsAsked = 3;
-/** Above this part of an endpoint's memory, a few requests more of each node would fill it. */
-const scarceMemoryPart = 0.6;
+const bitsPerMegabit = 1_000_000;
+/** Maximum number of rate-limited endpoints that are tried for a request. Each one costs the node a further chain search. */
+const maximumLimitedEndpointsTried = 3;
+/** Above this memory use, a few more requests from each node would fill the endpoint. */
+const scarceMemoryFraction = 0.6;
 
-/** Chooses the chains of one request, and counts it at their endpoints. */
+/** Chooses the chains of a request and reserves load on their endpoints. */
 export class RelayChains {
     private readonly environment: RelayEnvironment;
     private readonly task: RelayTask;
@@ -51,13 +51,13 @@
         this.model = model;
     }
 
-    /** Creates the choice for a request. */
+    /** Creates the selection for a request. */
     static create(environment: RelayEnvironment, task: RelayTask, model: EngineModel): RelayChains {
         return new RelayChains(environment, task, model);
     }
 
-    /** Chooses the best chain; undefined where there is none. */
-    choose({ avoid, firstStage, mayOverfill, sparePart = 0, closed }: ChainWish): RelayStage[] | undefined {
+    /** Chooses the best chain, or returns undefined if there is none. */
+    choose({ avoid, firstStage, mayOverfill, sparePart = 0, closed }: ChainRequirements): RelayStage[] | undefined {
         const { environment, model, task } = this;
         const now = environment.clock.getMonotonicTime();
         const query: StageQuery = {
@@ -65,7 +65,7 @@
             promptTokens: this.getPromptTokens(),
             answerTokens: this.getAnswerTokens(),
             dataCentre: environment.dataCentre,
-            pipeUse: this.getPipeUse(now),
+            pipeUse: this.getLinkUtilization(now),
             firstStage,
             mayOverfill,
             sparePart,
@@ -79,40 +79,44 @@
     }
 
     /**
-     * Chooses the best chain for the request to be sent over, and takes it out of the first stage's limit: that stage alone gets a
-     * request from this node.
+     * Chooses the best chain within the endpoints' rate limits and counts the request against the limit of its first stage, since only
+     * the first stage receives the request from this node.
      */
-    chooseOpen(wish: OpenChainWish): RelayStage[] | undefined {
+    chooseOpen(requirements: LimitedChainRequirements): RelayStage[] | undefined {
         const { limits, clock } = this.environment;
-        const { closed } = wish;
-        let asked = 0;
-        for (let stages = this.choose(wish); stages !== undefined; stages = this.choose(wish)) {
+        const { closed } = requirements;
+        let triedCount = 0;
+        for (let stages = this.choose(requirements); stages !== undefined; stages = this.choose(requirements)) {
             const { endpoint } = stages[0]!;
             if (limits.take(endpoint, clock.getMonotonicTime())) {
                 return stages;
             }
             closed.add(endpoint.id);
-            asked += 1;
-            if (asked === mostLimitsAsked) {
-                this.closeLimited(closed);
+            triedCount += 1;
+            if (triedCount === maximumLimitedEndpointsTried) {
+                this.excludeLimited(closed);
             }
         }
         return undefined;
     }
 
-    /** Gives back what {@link chooseOpen} took, where nothing is sent. */
+    /** Returns to the rate limit what {@link chooseOpen} took, if nothing is sent. */
     giveBack(stages: readonly RelayStage[]): void {
         this.environment.limits.giveBack(stages[0]!.endpoint.id);
     }
 
-    /** Gets when the caller should come back where only the limits of endpoints hold the request up; undefined otherwise. */
-    getLimitReturn({ avoid, closed }: Pick<OpenChainWish, "avoid" | "closed">): number | undefined {
-        const isHeldUp = closed.size > 0 && this.choose({ avoid, closed, mayOverfill: true }) === undefined;
+    /**
+     * Gets the delay in milliseconds after which the caller should retry, if only rate limits prevent the request from starting.
+     * Undefined otherwise.
+     */
+    getLimitReturn({ avoid, closed }: Pick<LimitedChainRequirements, "avoid" | "closed">): number | undefined {
+        const isRateLimited = closed.size > 0 && this.choose({ avoid, closed, mayOverfill: true }) === undefined;
         const { limits, clock } = this.environment;
-        return isHeldUp ? limits.bookReturn(closed, clock.getMonotonicTime()) : undefined;
+        return isRateLimited ? limits.bookReturn(closed, clock.getMonotonicTime()) : undefined;
     }
 
-    private closeLimited(closed: Set<string>): void {
+    /** Excludes all rate-limited endpoints. */
+    private excludeLimited(closed: Set<string>): void {
         const { limits, directory } = this.environment;
         for (const { id } of directory.getEndpoints(this.task.service.name)) {
             if (limits.isLimited(id)) {
@@ -122,8 +126,8 @@
     }
 
     /**
-     * Counts the request at the endpoints of a chain, until it is released, and what it moves between data centres.
-     * @throws InvariantError where the chain doesn't run each layer once and in order.
+     * Reserves the request's load on the endpoints of a chain until it is released, and counts its traffic between data centres.
+     * @throws InvariantError if the chain doesn't run each layer exactly once and in order.
      */
     reserve(stages: readonly RelayStage[]): LoadReservation {
         assertTiling(stages, this.model.layers);
@@ -135,46 +139,49 @@
         for (const { from, to } of crossings) {
             pipeShares.take(from, to, this.model, tokens, now);
         }
-        if (stages.some(({ endpoint }) => this.getMemoryPart(endpoint) > scarceMemoryPart)) {
+        if (stages.some(({ endpoint }) => this.getMemoryPart(endpoint) > scarceMemoryFraction)) {
             queue.noteContention();
         }
         return loads.reserveStages(stages, tokens, now);
     }
 
-    /** Gets the tokens that the request is expected to have at its end. */
+    /** Gets the expected number of tokens of the prompt and the answer. */
     getTokens(): number {
         return this.getPromptTokens() + this.getAnswerTokens();
     }
 
-    /** Whether there is a chain for the request, if nothing else ran. As long as no endpoint is known, the list is still to come. */
+    /**
+     * Gets if an idle system would have a chain for the request. Also true while no endpoint is known, since their list may not have
+     * arrived yet.
+     */
     hasChain(avoid: ReadonlySet<string>): boolean {
         const { directory } = this.environment;
         return directory.getEndpoints(this.task.service.name).length === 0
             || this.choose({ avoid, mayOverfill: true }) !== undefined;
     }
 
-    /** Gets the part of an endpoint's memory that is taken, as far as is known; 0 for one without layers. */
+    /** Gets the known used fraction of an endpoint's memory; 0 for an endpoint without layers. */
     getMemoryPart({ id, kind: kindName, layers }: RegisteredEndpoint): number {
         const { loads, directory } = this.environment;
         const kind = this.model.kinds.get(kindName ?? "");
         if (kind === undefined || layers === undefined) {
             return 0;
         }
-        const taken = loads.getLoad(id).tokenLayers + directory.getHiddenTokenLayers(id);
-        return taken / Math.max(1, getRequestMemory(this.model, kind, layers.end - layers.start));
+        const used = loads.getLoad(id).tokenLayers + directory.getHiddenTokenLayers(id);
+        return used / Math.max(1, getRequestMemory(this.model, kind, layers.end - layers.start));
     }
 
-    /** Estimates the use of the pipes from this node's part, since callers are spread over the nodes. */
-    private getPipeUse(now: number): number {
+    /** Estimates the utilization of the links between data centres from this node's traffic, since callers are spread over the nodes. */
+    private getLinkUtilization(now: number): number {
         const { pipeLoad, getNodeCount } = this.environment;
-        return pipeLoad.getRate(now) * getNodeCount() / (this.model.pipeMegabits * bitsOfMegabit);
+        return pipeLoad.getRate(now) * getNodeCount() / (this.model.pipeMegabits * bitsPerMegabit);
     }
 
     private getPromptTokens(): number {
         return this.task.request.promptTokens || this.model.usualPromptTokens;
     }
 
-    /** Expects what the caller estimates, or the usual length, within the most that it asks for. */
+    /** Gets the caller's estimate or the usual length, limited to the requested maximum. */
     private getAnswerTokens(): number {
         const { expectedAnswerTokens, maximumAnswerTokens } = this.task.request;
         return Math.min(expectedAnswerTokens || this.model.usualAnswerTokens, maximumAnswerTokens || Infinity);
--- a/src/request/relay/relayEnvironment.ts
+++ b/src/request/relay/relayEnvironment.ts
@@ -17,7 +17,7 @@
 import type { RelayQueue } from "./relayQueue.ts";
 import type { RelayTransport } from "./relayTransport.ts";
 
-/** What relayed requests work with. */
+/** Dependencies shared by all relayed requests. */
 export interface RelayEnvironment {
     /** Data centre of this node. */
     dataCentre: string;
@@ -30,7 +30,7 @@
     loads: EndpointLoads;
     health: EndpointHealth;
     refusals: Pick<RefusalWatch, "note">;
-    /** How many requests endpoints take from all nodes together. */
+    /** Rate limits that endpoints set for all nodes together. */
     limits: EndpointLimits;
     repeats: RetryBudget;
     quarantine: RequestQuarantine;
@@ -38,9 +38,9 @@
     firstEvents: FirstEventTimes;
     deadlines: UsualDeadlines;
     crossings: CrossingDelays;
-    /** What this node's requests move between data centres. */
+    /** Traffic between data centres caused by this node's requests. */
     pipeLoad: PipeLoad;
     pipeShares: PipeShares;
-    /** Gets the number of nodes that live, this one included. */
+    /** Gets the number of live nodes, including this one. */
     getNodeCount(): number;
 }
--- a/src/request/relay/relayQueue.ts
+++ b/src/request/relay/relayQueue.ts
@@ -12,9 +12,9 @@
     clock: Clock;
     random: RandomSource;
     log: EventLog;
-    /** Called with each decision on a request that has just come, and on one that has waited. */
+    /** Called with each decision on a request, both on its arrival and after it waited. */
     onDecided?(decision: StartDecision<RelayPlace>["kind"]): void;
-    /** Called when a request that waited is started: how long it waited, and was expected to, in milliseconds. */
+    /** Called when a request that waited is started, with its actual and its expected wait. */
     onWaited?(milliseconds: number, expectedMilliseconds: number): void;
 }
 
@@ -24,23 +24,23 @@
     expectedMilliseconds: number;
 }
 
-/** After an answer's time or two, the load is what it was before. */
-const busyMilliseconds = 5_000;
-/** What changes without a sign, such as the end of a suspicion, is found after this time. */
-const longestReviewMilliseconds = 50;
+/** How long the queue counts as busy after contention. The load has changed back after one or two times the duration of an answer. */
+const contentionMilliseconds = 5_000;
+/** Maximum time between reviews. Finds changes that cause no notification, such as the end of a suspicion. */
+const maximumReviewDelayMilliseconds = 50;
 
-/** Carries out what {@link StartLine} decides on requests for chains, and has it decide again when something has changed. */
+/** Queue of requests for chains. Executes the decisions of {@link StartLine} and reviews them when something has changed. */
 export class RelayQueue {
     private readonly options: RelayQueueOptions;
-    private readonly line: StartLine<RelayPlace>;
+    private readonly startQueue: StartLine<RelayPlace>;
     private timer: TimerHandle | undefined;
     private readonly waits = new Map<QueuedRelay, QueuedWait>();
-    private isWoken = false;
+    private isReviewDue = false;
     private contendedAt = -Infinity;
 
     private constructor(options: RelayQueueOptions) {
         this.options = options;
-        this.line = StartLine.create(options.random, options.clock.getMonotonicTime());
+        this.startQueue = StartLine.create(options.random, options.clock.getMonotonicTime());
     }
 
     /** Creates an empty queue. */
@@ -48,9 +48,9 @@
         return new RelayQueue(options);
     }
 
-    /** Has it decided whether a request starts, waits or is turned away; the first and the last are carried out at once. */
+    /** Starts, queues or rejects a request. Starts and rejections take effect immediately. */
     ask(relay: QueuedRelay): void {
-        const decision = this.line.decideArrival(relay, this.getTime());
+        const decision = this.startQueue.decideArrival(relay, this.getTime());
         this.options.onDecided?.(decision.kind);
         if (decision.kind !== "start") {
             this.contendedAt = this.getTime();
@@ -59,68 +59,68 @@
             const { requestId } = relay;
             const expectedMilliseconds = Math.round(decision.expectedMilliseconds);
             this.waits.set(relay, { since: this.getTime(), expectedMilliseconds });
-            const waiting = this.line.getLength();
+            const waiting = this.startQueue.getLength();
             this.options.log.write(events.relayWaits, { request: requestId, expectedMilliseconds, waiting });
             this.scheduleReview();
             return;
         }
-        this.carryOut(relay, decision);
+        this.execute(relay, decision);
     }
 
-    /** Takes a request out, whose caller has gone. */
+    /** Removes a request whose caller has disconnected. */
     remove(relay: QueuedRelay): void {
-        this.line.remove(relay);
+        this.startQueue.remove(relay);
         this.waits.delete(relay);
     }
 
-    /** Looks at those that wait, soon: room has come free, or endpoints have come or gone. */
+    /** Schedules an immediate review of the waiting requests, after room became free or the endpoints changed. */
     wake(): void {
-        if (this.isWoken || this.line.getLength() === 0) {
+        if (this.isReviewDue || this.startQueue.getLength() === 0) {
             return;
         }
-        this.isWoken = true;
+        this.isReviewDue = true;
         this.timer?.cancel();
         this.timer = this.options.clock.setTimer(0, () => this.review());
     }
 
-    /** Counts a request that was started past the queue. */
+    /** Counts a request that was started without the queue. */
     noteStart(): void {
-        this.line.noteStart();
+        this.startQueue.noteStart();
     }
 
-    /** Counts that a started request has left its chain; see {@link StartLine.noteEnd}. */
+    /** Records that a started request no longer uses its chain. See {@link StartLine.noteEnd}. */
     noteEnd(tokens: number, heldMilliseconds: number | undefined): void {
-        this.line.noteEnd(tokens, heldMilliseconds, this.getTime());
+        this.startQueue.noteEnd(tokens, heldMilliseconds, this.getTime());
     }
 
-    /** Notes that nodes contend for room, before any request has to wait for it. */
+    /** Records that nodes contend for room, before any request has to wait. */
     noteContention(): void {
         this.contendedAt = this.getTime();
     }
 
-    /** Whether requests had to wait lately, or room was getting scarce, so that nodes contend for it. */
+    /** Gets if nodes contend for room, because requests had to wait recently or room was becoming scarce. */
     isBusy(): boolean {
-        return this.getTime() - this.contendedAt < busyMilliseconds;
+        return this.getTime() - this.contendedAt < contentionMilliseconds;
     }
 
-    /** Gets the tokens a second of new requests that come to this node. */
+    /** Gets the rate of new requests at this node, in tokens per second. */
     getDemand(): number {
-        return this.line.getDemand(this.getTime());
+        return this.startQueue.getDemand(this.getTime());
     }
 
     private review(): void {
         this.timer = undefined;
-        this.isWoken = false;
-        for (const { request, decision } of this.line.review(this.getTime())) {
+        this.isReviewDue = false;
+        for (const { request, decision } of this.startQueue.review(this.getTime())) {
             const relay = request as QueuedRelay;
             this.options.onDecided?.(decision.kind);
-            this.noteWait(relay, decision.kind === "start");
-            this.carryOut(relay, decision);
+            this.endWait(relay, decision.kind === "start");
+            this.execute(relay, decision);
         }
         this.scheduleReview();
     }
 
-    private noteWait(relay: QueuedRelay, isStarted: boolean): void {
+    private endWait(relay: QueuedRelay, isStarted: boolean): void {
         const wait = this.waits.get(relay);
         this.waits.delete(relay);
         if (wait !== undefined && isStarted) {
@@ -130,15 +130,15 @@
 
     private scheduleReview(): void {
         const now = this.getTime();
-        const at = this.line.getNextReview(now);
+        const at = this.startQueue.getNextReview(now);
         if (at === undefined || this.timer !== undefined) {
             return;
         }
-        const delay = Math.min(longestReviewMilliseconds, Math.max(1, at - now));
+        const delay = Math.min(maximumReviewDelayMilliseconds, Math.max(1, at - now));
         this.timer = this.options.clock.setTimer(delay, () => this.review());
     }
 
-    private carryOut(relay: QueuedRelay, decision: StartDecision<RelayPlace>): void {
+    private execute(relay: QueuedRelay, decision: StartDecision<RelayPlace>): void {
         if (decision.kind === "start") {
             relay.start(decision.place);
         }
--- a/src/request/relay/relayRefusal.ts
+++ b/src/request/relay/relayRefusal.ts
@@ -1,10 +1,10 @@
 import type { RefusalReason } from "./refusalReason.ts";
 
-/** The final answer to a request that gets none of an endpoint. */
+/** The final answer to a request that no endpoint answers. */
 export interface RelayRefusal {
     reason: RefusalReason;
-    /** What happened and what the caller can do, in a sentence or two. */
+    /** What happened and what the caller can do, in one or two sentences. */
     message: string;
-    /** When the caller should come back, in milliseconds; only where the request has not run. */
+    /** Delay after which the caller should retry, in milliseconds. Set only if the request has not run. */
     retryAfterMilliseconds?: number;
 }
--- a/src/request/relay/relayStage.ts
+++ b/src/request/relay/relayStage.ts
@@ -1,6 +1,6 @@
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 
-/** A part of a chain: the layers from `start` up to but not including `end`, run by one endpoint. */
+/** A stage of a chain: the layers from `start` (inclusive) to `end` (exclusive), run by one endpoint. */
 export interface RelayStage {
     endpoint: RegisteredEndpoint;
     start: number;
--- a/src/request/relay/relayTask.ts
+++ b/src/request/relay/relayTask.ts
@@ -3,21 +3,21 @@
 import type { AnswerSink } from "./answerSink.ts";
 import type { RoutedRequest } from "./routedRequest.ts";
 
-/** A request whose route and customer are known. */
+/** A request with its resolved route and customer. */
 export interface RelayTask {
     request: RoutedRequest;
     route: Route;
     service: RoutedService;
     customer: string | undefined;
-    /** What the request is recognized by when its caller sends it again; see `fingerprintRequest`. */
+    /** Identifies the request when its caller retries it; see `fingerprintRequest`. */
     fingerprint: string;
     sink: AnswerSink;
-    /** Rank; 0 goes first. */
+    /** Priority rank; 0 is the highest priority. */
     rank: number;
-    /** By how much the node's event loop was late when it took the request up, in milliseconds. */
+    /** Event loop delay when the node began to handle the request, in milliseconds. */
     takenUpLateMilliseconds: number;
-    /** Whether its caller has come back with it, as far as that can be known, so that it is late already. */
+    /** Whether the request appears to be a retry by the caller, so that it is already late. */
     isReturn: boolean;
-    /** Monotonic time in milliseconds at which the final answer is due: the route's time or the caller's, if shorter. */
+    /** Monotonic time in milliseconds at which the final answer is due: the deadline of the route or the caller, whichever is earlier. */
     dueAt: number;
 }
--- a/src/request/relay/relayTransport.ts
+++ b/src/request/relay/relayTransport.ts
@@ -2,13 +2,13 @@
 import type { UpstreamListener } from "../../connection/upstream/upstreamListener.ts";
 import type { UpstreamRequest } from "../../connection/upstream/upstreamRequest.ts";
 
-/** Connections to endpoints, as far as relayed requests need them. */
+/** Connection pools for relayed requests. */
 export interface RelayTransport {
-    /** Gets the connections to an address, host:port. */
+    /** Gets the connection pool of an address (host:port). */
     getPool(address: string): {
-        /** Whether a connection is open and free. */
+        /** Gets if a connection is open and idle. */
         hasIdle(): boolean;
-        /** Sends a caller's request, created as it goes, unless it is given up until all that has come to the node is read. */
+        /** Sends a caller's request once all pending input of the node is read, unless it is aborted by then. It is created when sent. */
         sendForCaller(
             createRequest: () => UpstreamRequest,
             listener: UpstreamListener,
--- a/src/request/relay/rerouteOutcome.ts
+++ b/src/request/relay/rerouteOutcome.ts
@@ -1,6 +1,6 @@
-/** What became of a move to another chain. */
+/** Result of moving a request to another chain. */
 export interface RerouteOutcome {
     isDone: boolean;
-    /** host:port of the endpoint that stood in the way, where one is named. */
+    /** Address (host:port) of the endpoint that prevented the move, if one is named. */
     faultyAddress: string | undefined;
 }
--- a/src/request/relay/routedRequest.ts
+++ b/src/request/relay/routedRequest.ts
@@ -1,25 +1,25 @@
-/** A caller's request, as far as routing and forwarding depend on it. */
+/** The parts of a caller's request that routing and forwarding use. */
 export interface RoutedRequest {
-    /** Given by the caller, new with each attempt of it. */
+    /** Set by the caller, unique for each of its attempts. */
     id: string;
     method: string;
     host: string;
-    /** Path with its query, byte for byte. */
+    /** Path and query, byte for byte. */
     target: string;
-    /** Headers that go on to the endpoint, names and values by turns. */
+    /** Headers that are forwarded to the endpoint, as alternating names and values. */
     headers: string[];
     body: Buffer;
     apiKey: string | undefined;
     /** Monotonic time of arrival, in milliseconds. */
     arrivedAt: number;
-    /** How long the caller waits from the arrival on, in milliseconds; undefined where it didn't say. */
+    /** How long the caller waits after the arrival, in milliseconds; undefined if not specified. */
     deadlineMilliseconds: number | undefined;
-    /** Id of the last event that the caller has of this stream; 0 where it has none. */
+    /** Id of the last event of this stream that the caller has received; 0 if none. */
     lastEventId: number;
-    /** Tokens of the prompt; 0 where the caller didn't say. */
+    /** Number of prompt tokens; 0 if not specified. */
     promptTokens: number;
-    /** Most tokens of the answer; 0 where the caller didn't say. */
+    /** Maximum number of answer tokens; 0 if not specified. */
     maximumAnswerTokens: number;
-    /** The caller's estimate of the answer's tokens, right at the median only; 0 where it gave none. */
+    /** The caller's estimate of the number of answer tokens, accurate only at the median; 0 if not specified. */
     expectedAnswerTokens: number;
 }
--- a/src/request/relay/sendWholeAnswer.ts
+++ b/src/request/relay/sendWholeAnswer.ts
@@ -1,7 +1,7 @@
 import type { AnswerSink } from "./answerSink.ts";
 import type { WholeAnswer } from "./wholeAnswer.ts";
 
-/** Passes an endpoint's whole answer on to the caller. */
+/** Forwards an endpoint's complete answer to the caller. */
 export function sendWholeAnswer(sink: AnswerSink, { head, body }: WholeAnswer): void {
     sink.writeHead(head);
     if (body.length > 0) {
--- a/src/request/relay/stageCandidate.ts
+++ b/src/request/relay/stageCandidate.ts
@@ -2,21 +2,21 @@
 import type { HeldLayers } from "./heldLayers.ts";
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 
-/** An endpoint that can be a stage of a chain, with what its choice depends on. */
+/** An endpoint that can be a stage of a chain, with the properties by which it is chosen. */
 export interface StageCandidate {
     endpoint: RegisteredEndpoint;
     layers: HeldLayers;
     kind: AcceleratorKind;
-    /** Requests of all nodes that pass through it. */
+    /** In-flight requests of all nodes. */
     requests: number;
-    /** Memory that these need, in tokens times layers. */
+    /** Memory that these requests need, in tokens times layers. */
     tokenLayers: number;
     /** Memory for requests, in tokens times layers. */
     totalTokenLayers: number;
-    /** Memory that this node may still give to requests there, in tokens times layers. */
+    /** Memory that this node may still use for requests on the endpoint, in tokens times layers. */
     roomTokenLayers: number;
-    /** Factor on its usual times; 1 where it is as fast as its kind. */
+    /** Factor by which it is slower than usual for its kind; 1 if it is as fast. */
     slowness: number;
-    /** Whether it is taken as lost for now. */
+    /** Whether it is currently suspected to be lost. */
     isSuspect: boolean;
 }
--- a/src/request/relay/stageQuery.ts
+++ b/src/request/relay/stageQuery.ts
@@ -1,25 +1,25 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
 import type { RelayStage } from "./relayStage.ts";
 
-/** A request that needs a chain. */
+/** Parameters for choosing the chain of a request. */
 export interface StageQuery {
     model: EngineModel;
     promptTokens: number;
     answerTokens: number;
-    /** Data centre that the caller's node stands in. */
+    /** Data centre of the node that the caller is connected to. */
     dataCentre: string;
-    /** Whether endpoints without room for the request may be chosen; they give requests up in mid-stream. */
+    /** Whether endpoints without room for the request may be chosen. An endpoint that runs out of memory preempts running streams. */
     mayOverfill: boolean;
-    /** Part of each endpoint's memory that must stay free for others, 0 to 1. */
+    /** Fraction of each endpoint's memory that must stay free for other requests, 0 to 1. */
     sparePart: number;
-    /** Part of the pipes between data centres that is in use, 0 to 1. */
+    /** Utilization of the links between data centres, 0 to 1. */
     pipeUse: number;
-    /** Gets what a crossing was seen to add to first events lately, in milliseconds. */
+    /** Gets the recently observed delay that a link between data centres adds to first events, in milliseconds. */
     getCrossingDelay(from: string, to: string): number;
-    /** Gets how long this node's part of the pipe from one data centre to another is taken, in milliseconds. */
+    /** Gets how long this node's share of the link from one data centre to another stays occupied, in milliseconds. */
     getPipeWait(from: string, to: string): number;
-    /** Whether a connection to an endpoint's address is open and free. */
+    /** Gets if a connection to an endpoint's address is open and idle. */
     isConnected(address: string): boolean;
-    /** First stage that the chain must begin with, where a running request moves to another chain. */
+    /** First stage of the chain, if a running request moves to another chain. */
     firstStage?: RelayStage;
 }
--- a/src/request/relay/stageWork.ts
+++ b/src/request/relay/stageWork.ts
@@ -1,12 +1,12 @@
 import type { AcceleratorKind } from "../../version/routing/acceleratorKind.ts";
 
-/** What one stage is asked to do. */
+/** The work of one stage. */
 export interface StageWork {
     kind: AcceleratorKind;
     /** Layers that the stage runs. */
     layers: number;
-    /** Requests that are being answered there, this one included. */
+    /** In-flight requests at the endpoint, including this one. */
     requests: number;
-    /** Factor on the usual times. */
+    /** Factor by which the endpoint is slower than usual. */
     slowness: number;
 }
--- a/src/request/relay/stallWatch.ts
+++ b/src/request/relay/stallWatch.ts
@@ -8,59 +8,59 @@
 import type { StreamRelay } from "./streamRelay.ts";
 
 /** Options of a {@link StallWatch}. */
-interface StallWatchOptions {
+interface StallDetectorOptions {
     environment: RelayEnvironment;
     clock: Clock;
-    /** Asks an endpoint for its report; undefined where it doesn't answer. */
+    /** Fetches an endpoint's report. Returns undefined if the endpoint doesn't answer. */
     fetchReport(endpoint: RegisteredEndpoint): Promise<EndpointReport | undefined>;
-    /** Asks the first stage to move a request; the endpoint's address at fault where it doesn't. */
+    /** Asks the first stage to move a request to another chain. */
     reroute(requestId: string, stages: RelayStage[]): Promise<RerouteOutcome>;
 }
 
-const sweepMilliseconds = 60;
-/** A stream that is silent for several times the usual time between events is looked into. */
-const silentMilliseconds = 240;
-/** A first event takes the reading of the prompt on each stage besides. */
-const silentBeforeFirstMilliseconds = 420;
-/** Reports are as old as this; asking the same endpoint again sooner brings nothing new. */
-const askAgainMilliseconds = 200;
-/** A stream that is silent for this long without an explanation goes on over another chain, before its caller leaves. */
-const hopelessMilliseconds = 1_300;
+const sweepIntervalMilliseconds = 60;
+/** A stream without events for this long, several times the usual time between events, is checked. */
+const silenceMilliseconds = 240;
+/** Limit for the first event, which also takes the prefill of the prompt on each stage. */
+const silenceBeforeFirstEventMilliseconds = 420;
+/** Maximum age of a report. Fetching it from the same endpoint again before that returns nothing new. */
+const reportIntervalMilliseconds = 200;
+/** A stream that is silent for this long without a known cause is continued over another chain, before its caller gives up. */
+const abandonMilliseconds = 1_300;
 
 /**
- * Finds streams that are silent and the endpoint that holds them up, by the report of their first stage, and moves them
- * to other chains before their callers leave. Streams that fall silent together share a report.
+ * Detects stalled streams, finds the endpoint that blocks them from the report of their first stage, and moves them to
+ * other chains before their callers give up. Streams with the same first stage share a report.
  */
 export class StallWatch {
-    private readonly options: StallWatchOptions;
+    private readonly options: StallDetectorOptions;
     private readonly relays = new Set<StreamRelay>();
-    private readonly askedAt = new Map<string, number>();
+    private readonly reportRequestedAt = new Map<string, number>();
     private timer: TimerHandle | undefined;
 
-    private constructor(options: StallWatchOptions) {
+    private constructor(options: StallDetectorOptions) {
         this.options = options;
     }
 
-    /** Creates a watch over no streams. */
-    static create(options: StallWatchOptions): StallWatch {
+    /** Creates a detector without streams. */
+    static create(options: StallDetectorOptions): StallWatch {
         return new StallWatch(options);
     }
 
-    /** Watches a stream until {@link remove}. */
+    /** Monitors a stream until {@link remove} is called. */
     add(relay: StreamRelay): void {
         this.relays.add(relay);
-        this.timer ??= this.options.clock.setTimer(sweepMilliseconds, () => this.sweep());
+        this.timer ??= this.options.clock.setTimer(sweepIntervalMilliseconds, () => this.sweep());
     }
 
-    /** Ends the watch over a stream. */
+    /** Stops monitoring a stream. */
     remove(relay: StreamRelay): void {
         this.relays.delete(relay);
     }
 
     /**
-     * Moves the streams that pass through an endpoint which has started again: it knows nothing of them, and without this
-     * each would be found silent only after its longest pause.
-     * @param earlier - The endpoint as it was before.
+     * Moves the streams that pass through an endpoint that has restarted. It has lost their state, and each of them would
+     * otherwise be detected only when it exceeds the silence limit.
+     * @param endpoint - The endpoint before the restart.
      */
     loseEndpoint({ id }: RegisteredEndpoint): void {
         const lost = new Set([id]);
@@ -74,34 +74,34 @@
     private sweep(): void {
         this.timer = undefined;
         const now = this.options.clock.getMonotonicTime();
-        const silentByFirst = new Map<string, StreamRelay[]>();
+        const silentByFirstStage = new Map<string, StreamRelay[]>();
         for (const relay of this.relays) {
             const first = relay.getStages()?.[0];
             if (first === undefined || relay.isRerouting || !isSilent(relay, now)) {
                 continue;
             }
-            const silent = silentByFirst.get(first.endpoint.id) ?? [];
+            const silent = silentByFirstStage.get(first.endpoint.id) ?? [];
             silent.push(relay);
-            silentByFirst.set(first.endpoint.id, silent);
+            silentByFirstStage.set(first.endpoint.id, silent);
         }
-        for (const relays of silentByFirst.values()) {
-            this.inquire(relays, now);
+        for (const relays of silentByFirstStage.values()) {
+            this.investigate(relays, now);
         }
         if (this.relays.size > 0) {
-            this.timer = this.options.clock.setTimer(sweepMilliseconds, () => this.sweep());
+            this.timer = this.options.clock.setTimer(sweepIntervalMilliseconds, () => this.sweep());
         }
     }
 
-    private inquire(relays: StreamRelay[], now: number): void {
+    private investigate(relays: StreamRelay[], now: number): void {
         const { endpoint } = relays[0]!.getStages()![0]!;
-        if (now - (this.askedAt.get(endpoint.id) ?? -Infinity) < askAgainMilliseconds) {
+        if (now - (this.reportRequestedAt.get(endpoint.id) ?? -Infinity) < reportIntervalMilliseconds) {
             return;
         }
-        this.askedAt.set(endpoint.id, now);
-        void this.resolve(endpoint, relays);
+        this.reportRequestedAt.set(endpoint.id, now);
+        void this.resolveStall(endpoint, relays);
     }
 
-    private async resolve(first: RegisteredEndpoint, relays: StreamRelay[]): Promise<void> {
+    private async resolveStall(first: RegisteredEndpoint, relays: StreamRelay[]): Promise<void> {
         const report = await this.options.fetchReport(first);
         const { environment, clock } = this.options;
         const now = clock.getMonotonicTime();
@@ -119,47 +119,47 @@
             }
             return;
         }
-        const lost = this.noteLost(report, now);
+        const lost = this.recordLost(report, now);
         for (const relay of relays) {
             const isStalled = report.stalled.some(({ requestId }) => requestId === relay.task.request.id);
-            const isTouched = relay.getStages()?.some(({ endpoint }) => lost.has(endpoint.id)) === true;
-            if (isStalled || isTouched) {
+            const isAffected = relay.getStages()?.some(({ endpoint }) => lost.has(endpoint.id)) === true;
+            if (isStalled || isAffected) {
                 void this.reroute(relay, lost);
             }
             else {
-                this.reviewSilent(relay, first, now);
+                this.reviewUnexplained(relay, first, now);
             }
         }
     }
 
     /**
-     * Looks at a silent stream that its first stage knows no cause for. Where others over the same data centres go on, it
-     * is lost by itself, and another chain brings it further. Where none does, the ways are slow or full, and to send it
-     * once more would add to that.
+     * Reviews a silent stream for which its first stage reports no cause. If other streams over the same data centres
+     * make progress, only this stream is lost, and it continues over another chain. Otherwise the links are slow or
+     * congested, and sending it again would add to the congestion.
      */
-    private reviewSilent(relay: StreamRelay, first: RegisteredEndpoint, now: number): void {
+    private reviewUnexplained(relay: StreamRelay, first: RegisteredEndpoint, now: number): void {
         const { crossings } = this.options.environment;
         const dataCentres = relay.getDataCentres();
         if (!relay.hasEvents()) {
             crossings.note(dataCentres, now - (relay.getSentAt() ?? now), now);
         }
-        const isHopeless = now - (relay.getLastProgress() ?? now) > hopelessMilliseconds;
-        if (isHopeless && this.hasProgress(dataCentres.join(), now)) {
+        const isOverdue = now - (relay.getLastProgress() ?? now) > abandonMilliseconds;
+        if (isOverdue && this.hasProgressingStream(dataCentres.join(), now)) {
             this.abandon(relay, first.id, "the chain is silent while others go on.");
         }
     }
 
-    private hasProgress(dataCentres: string, now: number): boolean {
+    private hasProgressingStream(dataCentres: string, now: number): boolean {
         for (const relay of this.relays) {
-            const isAlive = relay.hasEvents() && !isSilent(relay, now);
-            if (isAlive && relay.getDataCentres().join() === dataCentres) {
+            const isProgressing = relay.hasEvents() && !isSilent(relay, now);
+            if (isProgressing && relay.getDataCentres().join() === dataCentres) {
                 return true;
             }
         }
         return false;
     }
 
-    private noteLost(report: EndpointReport, now: number): Set<string> {
+    private recordLost(report: EndpointReport, now: number): Set<string> {
         const { environment } = this.options;
         const lost = new Set<string>();
         for (const { address } of report.stalled) {
@@ -200,6 +200,6 @@
 }
 
 function isSilent(relay: StreamRelay, now: number): boolean {
-    const limit = relay.hasEvents() ? silentMilliseconds : silentBeforeFirstMilliseconds;
+    const limit = relay.hasEvents() ? silenceMilliseconds : silenceBeforeFirstEventMilliseconds;
     return now - (relay.getLastProgress() ?? now) > limit;
 }
--- a/src/request/relay/streamAnswerReader.ts
+++ b/src/request/relay/streamAnswerReader.ts
@@ -9,22 +9,22 @@
 interface StreamAnswerReaderOptions {
     protocol: EndpointProtocol;
     requestId: string;
-    /** Takes the head of an answer to the request. */
+    /** Called with the head of an answer to the request. */
     onHead(head: AnswerHead): void;
-    /** Takes each event of a success, in order. */
+    /** Called with each event of a successful answer, in order. */
     onEvent(event: StreamEvent, head: AnswerHead): void;
-    /** Called once where the answer comes to its end. */
+    /** Called once when the answer ends. */
     onEnd(end: StreamAnswerEnd): void;
 }
 
-const successStatus = 200;
-const redirectStatus = 300;
+const firstSuccessStatus = 200;
+const firstRedirectStatus = 300;
 
-/** Reads an endpoint's answer to a streamed request: its events, or what it is instead. */
+/** Parses an endpoint's answer to a streamed request, which is a stream of events, a refusal or a failure. */
 export class StreamAnswerReader {
     private readonly options: StreamAnswerReaderOptions;
     private readonly splitter = EventSplitter.create();
-    /** Body of an answer that is no stream of events. */
+    /** Body of an answer that is not an event stream. */
     private readonly chunks: Buffer[] = [];
     private head: AnswerHead | undefined;
 
@@ -32,12 +32,12 @@
         this.options = options;
     }
 
-    /** Creates a reader of an answer whose head is still to come. */
+    /** Creates a reader for an answer whose head has not arrived yet. */
     static create(options: StreamAnswerReaderOptions): StreamAnswerReader {
         return new StreamAnswerReader(options);
     }
 
-    /** Takes the answer's head. */
+    /** Handles the answer's head. */
     takeHead(status: number, headers: IncomingHttpHeaders): void {
         const { protocol, requestId, onHead, onEnd } = this.options;
         this.head = protocol.readHead(status, headers, requestId);
@@ -48,7 +48,7 @@
         onHead(this.head);
     }
 
-    /** Takes bytes of the answer's body. */
+    /** Handles bytes of the answer's body. */
     takeData(chunk: Buffer): void {
         const { head } = this;
         if (head === undefined) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Takes that no more bytes follow. */
+    /** Handles the end of the answer's body. */
     takeEnd(): void {
         const { head } = this;
         if (head !== undefined) {
@@ -78,7 +78,7 @@
         if (isSuccess(head)) {
             return this.splitter.hasRest() ? { kind: "cut" } : { kind: "whole", head };
         }
-        // A success without a signature isn't the endpoint's own answer, and must not reach the caller as one.
+        // A success without a signature is not the endpoint's own answer and must not be forwarded to the caller.
         const answer = hasSuccessStatus(head) ? undefined : { head, body: Buffer.concat(this.chunks) };
         return { kind: "failed", head, answer };
     }
@@ -89,5 +89,5 @@
 }
 
 function hasSuccessStatus({ status }: AnswerHead): boolean {
-    return status >= successStatus && status < redirectStatus;
+    return status >= firstSuccessStatus && status < firstRedirectStatus;
 }
--- a/src/request/relay/streamAttempt.ts
+++ b/src/request/relay/streamAttempt.ts
@@ -2,15 +2,15 @@
 import type { LoadReservation } from "./loadReservation.ts";
 import type { RelayStage } from "./relayStage.ts";
 
-/** One run of a streamed request on one chain. */
+/** An attempt to run a streamed request on a chain. */
 export interface StreamAttempt {
     stages: RelayStage[];
-    /** Monotonic time of its sending, in milliseconds. */
+    /** Monotonic time at which it was sent, in milliseconds. */
     sentAt: number;
     reservation: LoadReservation;
     exchange: UpstreamExchange | undefined;
-    /** Monotonic time of the last sign of life, in milliseconds; for the search of stalled chains. */
+    /** Monotonic time of the last progress, in milliseconds. Used to detect stalled chains. */
     lastProgressAt: number;
-    /** Monotonic time of the first event of this run, in milliseconds; undefined before it. */
+    /** Monotonic time of the first event of this attempt, in milliseconds; undefined before the first event. */
     firstEventAt: number | undefined;
 }
--- a/src/request/relay/streamAttemptEnd.ts
+++ b/src/request/relay/streamAttemptEnd.ts
@@ -1,16 +1,16 @@
 import type { WholeAnswer } from "./wholeAnswer.ts";
 
-/** Why a run brings no further events. */
+/** Why an attempt ended without completing the stream. */
 export interface StreamAttemptEnd {
-    /** Whether the chain has surely not run the request. */
+    /** Whether it is certain that the chain has not run the request. */
     isNotRun: boolean;
-    /** Whether no byte of it was sent. */
+    /** Whether no byte of the request was sent. */
     isUnsent?: boolean;
-    /** Whether the first stage broke the connection off, as an endpoint that ends does. */
+    /** Whether the connection to the first stage broke, as it does when an endpoint crashes. */
     isBroken?: boolean;
     cause: string;
-    /** Ids of endpoints that the next chain avoids. */
+    /** Ids of endpoints that the next chain must avoid. */
     avoid: string[];
-    /** Passed on where nothing better comes. */
+    /** Failure that is forwarded to the caller if no later attempt succeeds. */
     failure?: WholeAnswer;
 }
--- a/src/request/relay/streamEvent.ts
+++ b/src/request/relay/streamEvent.ts
@@ -1,7 +1,7 @@
-/** One event of a stream, as the endpoint sent it. */
+/** An event of a stream, as the endpoint sent it. */
 export interface StreamEvent {
-    /** The event's bytes with the empty line that ends it. */
+    /** Bytes of the event, including the empty line that terminates it. */
     bytes: Buffer;
-    /** Undefined where the event has no id. */
+    /** Undefined if the event has no id. */
     id: number | undefined;
 }
--- a/src/request/relay/streamProgress.ts
+++ b/src/request/relay/streamProgress.ts
@@ -1,10 +1,11 @@
 import { EventVerdict } from "./eventVerdict.ts";
-/** What the caller has of a stream: its last event, and how the events came. */
+
+/** Tracks the events of a stream that were forwarded to the caller, and their timing. */
 export class StreamProgress {
     private lastId: number;
     private count = 0;
-    /** Whether every id so far was one higher than that before it, so that a higher one shows a missing event. */
-    private isDense = true;
+    /** Whether each id so far was one higher than the previous id, so that a larger step indicates a missing event. */
+    private isConsecutive = true;
     private firstAt: number | undefined;
     private lastAt = 0;
     private longestGap = 0;
@@ -15,15 +16,15 @@
 
     /**
      * Creates the progress of a stream.
-     * @param lastId - Id of the last event that the caller has; 0 where it has none.
+     * @param lastId - Id of the last event that the caller has received; 0 if none.
      */
     static create(lastId: number): StreamProgress {
         return new StreamProgress(lastId);
     }
 
     /**
-     * Decides about an event, and notes it where it goes on. Ids only rise, whatever the runs bring.
-     * @param id - Its id; undefined where it has none, which lets it pass.
+     * Decides whether to forward an event, and records it if so. The ids of forwarded events increase strictly, also across attempts.
+     * @param id - Id of the event; undefined if it has none, in which case it is always forwarded.
      * @param now - Monotonic time in milliseconds.
      */
     take(id: number | undefined, now: number): EventVerdict {
@@ -34,37 +35,37 @@
             return EventVerdict.Repeat;
         }
         const isNext = id === this.lastId + 1;
-        if (!isNext && this.isDense && this.count > 1) {
+        if (!isNext && this.isConsecutive && this.count > 1) {
             return EventVerdict.Gap;
         }
-        this.isDense &&= isNext;
-        this.noteTime(now);
+        this.isConsecutive &&= isNext;
+        this.recordTime(now);
         this.lastId = id;
         this.count += 1;
         return EventVerdict.Pass;
     }
 
-    /** Gets the id of the last event that the caller has; 0 where it has none. */
+    /** Gets the id of the last event that the caller has received; 0 if none. */
     getLastId(): number {
         return this.lastId;
     }
 
-    /** Gets the number of events that went on. */
+    /** Gets the number of forwarded events that have an id. */
     getCount(): number {
         return this.count;
     }
 
-    /** Gets the monotonic time of the first event, in milliseconds. */
+    /** Gets the monotonic time of the first forwarded event, in milliseconds; undefined if there is none. */
     getFirstTime(): number | undefined {
         return this.firstAt;
     }
 
-    /** Gets the longest time between two events, in milliseconds. */
+    /** Gets the longest time between two forwarded events, in milliseconds. */
     getLongestGap(): number {
         return this.longestGap;
     }
 
-    private noteTime(now: number): void {
+    private recordTime(now: number): void {
         if (this.firstAt === undefined) {
             this.firstAt = now;
         }
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -29,34 +29,34 @@
 import { StreamStory } from "./streamStory.ts";
 import type { WholeAnswer } from "./wholeAnswer.ts";
 
-/** A request that ends the endpoint which runs it does so within a few steps. */
-const outlivedMilliseconds = 250;
+/** A request that crashes the endpoint that runs it does so within a few steps. After this time it is considered safe. */
+const safeAfterMilliseconds = 250;
 
 /**
- * Forwards one streamed request over a chain of endpoints and passes its events on as they come. Where the chain is
- * lost, the stream goes on from its last event over another one, in the same answer. Every event has a higher id than
- * the one before, whatever the runs bring.
+ * Forwards a streamed request over a chain of endpoints and its events to the caller as they arrive. If the chain is lost,
+ * the stream continues after its last event over another chain, in the same answer. The ids of the forwarded events
+ * increase strictly, also across attempts.
  */
 export class StreamRelay {
     readonly task: RelayTask;
     private readonly environment: RelayEnvironment;
     private readonly chains: RelayChains;
-    private readonly allowance: RunAllowance;
+    private readonly attemptLimit: RunAllowance;
     private readonly quarantine: TaskQuarantine;
     private readonly progress: StreamProgress;
-    private readonly story: StreamStory;
+    private readonly logger: StreamStory;
     private readonly onDone: () => void;
     private readonly avoided = new Set<string>();
     private timer: TimerHandle | undefined;
     private attempt: StreamAttempt | undefined;
-    private queued: QueuedRelay | undefined;
-    private failure: WholeAnswer | undefined;
-    /** Monotonic time in milliseconds at which the first byte left for an endpoint. */
+    private queuedRelay: QueuedRelay | undefined;
+    private failureAnswer: WholeAnswer | undefined;
+    /** Monotonic time in milliseconds at which the first byte was sent to an endpoint. */
     private firstSentAt: number | undefined;
     private mayHaveRun = false;
     private isHeadWritten = false;
     private isDone = false;
-    /** Whether a move to another chain is being asked for. */
+    /** Whether a move to another chain is in progress. */
     isRerouting = false;
 
     private constructor(environment: RelayEnvironment, task: RelayTask, model: EngineModel, onDone: () => void) {
@@ -64,18 +64,18 @@
         this.task = task;
         this.onDone = onDone;
         this.chains = RelayChains.create(environment, task, model);
-        this.allowance = RunAllowance.create(environment, task);
+        this.attemptLimit = RunAllowance.create(environment, task);
         this.quarantine = TaskQuarantine.create(environment, task);
         this.progress = StreamProgress.create(task.request.lastEventId);
-        this.story = StreamStory.create(environment, task, this.progress);
+        this.logger = StreamStory.create(environment, task, this.progress);
     }
 
     /**
      * Creates the relay of a request; nothing is sent before {@link start}.
-     * @param environment - What relayed requests work with.
+     * @param environment - Dependencies of relayed requests.
      * @param task - The request.
-     * @param model - Figures of the model that it asks for.
-     * @param onDone - Called once when the caller has its answer or has gone.
+     * @param model - Parameters of the requested model.
+     * @param onDone - Called once when the caller has its answer or has disconnected.
      */
     static create(
         environment: RelayEnvironment,
@@ -91,16 +91,16 @@
         const { sink, dueAt } = this.task;
         sink.onClosed(() => this.finish("callerGone"));
         const delay = Math.max(0, dueAt - this.getTime());
-        this.timer = this.environment.clock.setTimer(delay, () => this.expire());
+        this.timer = this.environment.clock.setTimer(delay, () => this.handleTimeout());
         this.startAttempt("no chain of endpoints has room.");
     }
 
-    /** Gets the chain in use; undefined between two runs. */
+    /** Gets the chain in use; undefined between attempts. */
     getStages(): readonly RelayStage[] | undefined {
         return this.attempt?.stages;
     }
 
-    /** Gets the monotonic time of the last sign of life of the chain in use, in milliseconds. */
+    /** Gets the monotonic time of the last progress of the chain in use, in milliseconds. */
     getLastProgress(): number | undefined {
         return this.attempt?.lastProgressAt;
     }
@@ -110,19 +110,19 @@
         return listDataCentres(this.attempt?.stages ?? []);
     }
 
-    /** Gets the monotonic time at which the chain in use was asked, in milliseconds. */
+    /** Gets the monotonic time at which the request was sent to the chain in use, in milliseconds. */
     getSentAt(): number | undefined {
         return this.attempt?.sentAt;
     }
 
-    /** Whether the chain in use has brought an event. */
+    /** Gets if the chain in use has sent an event. */
     hasEvents(): boolean {
         return this.attempt?.firstEventAt !== undefined;
     }
 
     /**
-     * Chooses another chain with the same first stage, without certain endpoints.
-     * @param avoid - Ids of endpoints that hold the stream up.
+     * Chooses another chain with the same first stage.
+     * @param avoid - Ids of endpoints that block the stream, which the chain must not use.
      */
     chooseReroute(avoid: ReadonlySet<string>): RelayStage[] | undefined {
         const [firstStage] = this.attempt?.stages ?? [];
@@ -133,7 +133,7 @@
         return this.chains.choose({ avoid: all, firstStage, mayOverfill: true });
     }
 
-    /** Notes that endpoints are lost; where the request had just begun to run there, it may be what ended them. */
+    /** Records that endpoints are lost. If the request had just begun to run on them, it may have caused their crash. */
     noteLost(endpointIds: ReadonlySet<string>): void {
         for (const { endpoint } of this.attempt?.stages ?? []) {
             if (endpointIds.has(endpoint.id)) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Notes that the endpoints took the move to another chain. */
+    /** Switches to another chain after the endpoints accepted the move. */
     completeReroute(stages: RelayStage[]): void {
         const { attempt } = this;
         if (attempt === undefined) {
@@ -152,13 +152,13 @@
         attempt.stages = stages;
         attempt.reservation = this.chains.reserve(stages);
         attempt.lastProgressAt = this.getTime();
-        this.story.writeReroute(stages);
+        this.logger.writeReroute(stages);
     }
 
     /**
-     * Gives the chain in use up and goes on over another one.
-     * @param avoid - Ids of endpoints that are at fault.
-     * @param cause - What was found.
+     * Abandons the chain in use and continues over another one.
+     * @param avoid - Ids of the faulty endpoints.
+     * @param cause - Why the chain is abandoned.
      */
     abandonChain(avoid: string[], cause: string): void {
         const { attempt } = this;
@@ -171,16 +171,16 @@
     }
 
     /**
-     * Sends the request over the best chain, lets it wait for one, or gives it up.
+     * Sends the request over the best chain, queues it, or ends it.
      * @param cause - Why there is no answer yet.
-     * @param isRepeat - Whether an endpoint got the request before, which the budget of repeats bounds.
+     * @param isRepeat - Whether this is a retry, which counts against the retry budget.
      */
     private startAttempt(cause: string, isRepeat = false): void {
-        if (this.reviewHold(cause)) {
+        if (this.endIfHeld(cause)) {
             return;
         }
-        if (!this.allowance.mayRunAgain()) {
-            this.giveUp(`${cause} The route allows no further endpoint.`);
+        if (!this.attemptLimit.mayRunAgain()) {
+            this.giveUp(`${cause} The route allows no further attempt.`);
             return;
         }
         if (this.isHeadWritten) {
@@ -188,45 +188,45 @@
             return;
         }
         const { environment, task, chains, avoided } = this;
-        this.queued = createQueuedRelay({
+        this.queuedRelay = createQueuedRelay({
             environment,
             task,
             chains,
             avoided,
             isRepeat,
             start: place => {
-                this.queued = undefined;
-                this.startQueued(place, cause);
+                this.queuedRelay = undefined;
+                this.startReserved(place, cause);
             },
             refuse: (reason, retryAfterMilliseconds) => {
-                this.queued = undefined;
-                this.turnAway(`${cause} ${reason}`, retryAfterMilliseconds);
+                this.queuedRelay = undefined;
+                this.reject(`${cause} ${reason}`, retryAfterMilliseconds);
             },
         });
-        environment.queue.ask(this.queued);
+        environment.queue.ask(this.queuedRelay);
     }
 
-    /** Takes a place in a chain, unless endpoints have ended under the request while it waited. */
-    private startQueued(place: RelayPlace, cause: string): void {
-        if (this.reviewHold(cause)) {
+    /** Starts a queued request on its reserved chain, unless the request was quarantined while it waited. */
+    private startReserved(place: RelayPlace, cause: string): void {
+        if (this.endIfHeld(cause)) {
             this.environment.queue.noteEnd(this.chains.getTokens(), undefined);
             this.chains.giveBack(place.stages);
             place.reservation.release();
             return;
         }
-        this.runAttempt(place);
+        this.beginAttempt(place);
     }
 
-    /** Ends the request where it is held back. Returns whether it is. */
-    private reviewHold(cause: string): boolean {
+    /** Ends the request if it is held back. Returns whether it is. */
+    private endIfHeld(cause: string): boolean {
         const hold = this.quarantine.getHold();
         if (hold !== undefined) {
-            this.giveUp(`${cause} Endpoints end while they run this request.`, createRefusal.heldBack(hold));
+            this.giveUp(`${cause} Endpoints crash while they run this request.`, createRefusal.heldBack(hold));
         }
         return hold !== undefined;
     }
 
-    /** Goes on with a stream that has begun. It does not wait for room: its caller would leave. */
+    /** Continues a stream that has begun. It does not wait for room, since its caller would give up. */
     private resume(cause: string, isRepeat: boolean): void {
         const { environment, chains, avoided, task } = this;
         environment.limits.noteRequest(task.service.name, this.getTime());
@@ -237,14 +237,14 @@
         }
         if (isRepeat && !environment.repeats.takeRetry(this.getTime())) {
             chains.giveBack(stages);
-            this.giveUp(`${cause} The budget of repeats is used up.`);
+            this.giveUp(`${cause} The retry budget is used up.`);
             return;
         }
         environment.queue.noteStart();
-        this.runAttempt({ stages, reservation: chains.reserve(stages) });
+        this.beginAttempt({ stages, reservation: chains.reserve(stages) });
     }
 
-    private turnAway(cause: string, retryAfterMilliseconds: number): void {
+    private reject(cause: string, retryAfterMilliseconds: number): void {
         const { log, deadlines } = this.environment;
         deadlines.noteRefusal(this.getTime());
         log.write(events.relayTurnedAway, {
@@ -257,8 +257,8 @@
         this.giveUp(cause, createRefusal.notRun(cause, retryAfterMilliseconds));
     }
 
-    private runAttempt({ stages, reservation }: RelayPlace): void {
-        this.allowance.noteSending();
+    private beginAttempt({ stages, reservation }: RelayPlace): void {
+        this.attemptLimit.noteSending();
         const now = this.getTime();
         const attempt: StreamAttempt = {
             stages,
@@ -286,18 +286,18 @@
             protocol,
             requestId: request.id,
             onHead: head => environment.limits.noteAnswer(endpoint.id, head.requestsPerSecond, this.getTime()),
-            onEvent: (event, head) => this.takeEvent(attempt, head, event),
-            onEnd: end => this.takeEnd(attempt, end),
+            onEvent: (event, head) => this.handleEvent(attempt, head, event),
+            onEnd: end => this.handleEnd(attempt, end),
         });
         attempt.exchange = pools.getPool(endpoint.address).sendForCaller(createRequest, {
             onHead: (status, headers) => reader.takeHead(status, headers),
             onData: chunk => reader.takeData(chunk),
             onEnd: () => reader.takeEnd(),
-            onFailure: failure => this.takeFailure(attempt, failure),
+            onFailure: failure => this.handleFailure(attempt, failure),
         });
     }
 
-    private takeEvent(attempt: StreamAttempt, head: AnswerHead, event: StreamEvent): void {
+    private handleEvent(attempt: StreamAttempt, head: AnswerHead, event: StreamEvent): void {
         if (attempt !== this.attempt) {
             return;
         }
@@ -307,7 +307,7 @@
         for (const { endpoint } of attempt.stages) {
             this.environment.health.noteAlive(endpoint.id, now);
         }
-        if (now - (attempt.firstEventAt ?? now) >= outlivedMilliseconds) {
+        if (now - (attempt.firstEventAt ?? now) >= safeAfterMilliseconds) {
             this.quarantine.noteOutlived();
         }
         if (attempt.firstEventAt === undefined) {
@@ -337,7 +337,7 @@
         }
     }
 
-    private takeEnd(attempt: StreamAttempt, end: StreamAnswerEnd): void {
+    private handleEnd(attempt: StreamAttempt, end: StreamAnswerEnd): void {
         if (attempt !== this.attempt) {
             return;
         }
@@ -348,9 +348,13 @@
                 return;
             case "refused": {
                 const { head } = end;
-                this.allowance.noteRefusal();
-                const avoid = this.noteRefusal(getFaulty(attempt, head.faultyAddress), head.status);
-                this.endAttempt(attempt, { isNotRun: true, cause: `the endpoint refused it (${head.status}).`, avoid });
+                this.attemptLimit.noteRefusal();
+                const avoid = this.noteRefusal(getFaultyEndpoint(attempt, head.faultyAddress), head.status);
+                this.endAttempt(attempt, {
+                    isNotRun: true,
+                    cause: `the endpoint refused the request (${head.status}).`,
+                    avoid,
+                });
                 return;
             }
             case "failed": {
@@ -379,7 +383,7 @@
         this.finish("answered");
     }
 
-    private takeFailure(attempt: StreamAttempt, failure: UpstreamFailure): void {
+    private handleFailure(attempt: StreamAttempt, failure: UpstreamFailure): void {
         if (attempt !== this.attempt) {
             return;
         }
@@ -402,62 +406,62 @@
         if (this.isDone || attempt !== this.attempt) {
             return;
         }
-        this.leave(attempt);
+        this.releaseAttempt(attempt);
         this.attempt = undefined;
         if (!end.isNotRun) {
             this.mayHaveRun = true;
-            this.allowance.noteRun(attempt.stages[0]!.endpoint.id);
+            this.attemptLimit.noteRun(attempt.stages[0]!.endpoint.id);
         }
         if (end.isBroken === true) {
             this.quarantine.noteEnded(attempt.stages[0]!.endpoint.id, attempt.sentAt);
         }
-        this.failure = end.failure ?? this.failure;
+        this.failureAnswer = end.failure ?? this.failureAnswer;
         for (const id of end.avoid) {
             this.avoided.add(id);
         }
-        const sendings = this.allowance.getSendings();
+        const sendings = this.attemptLimit.getSendings();
         const memoryPart = this.chains.getMemoryPart(attempt.stages[0]!.endpoint);
-        this.story.writeFailure({ attempt, end, sendings, memoryPart });
-        if (end.isNotRun || this.isRepeatable()) {
+        this.logger.writeFailure({ attempt, end, sendings, memoryPart });
+        if (end.isNotRun || this.isResumable()) {
             this.startAttempt(end.cause, !end.isUnsent);
             return;
         }
         this.giveUp(end.cause);
     }
 
-    /** Gives back what an attempt has taken. */
-    private leave(attempt: StreamAttempt): void {
-        const held = attempt.firstEventAt !== undefined ? this.getTime() - attempt.sentAt : undefined;
-        this.environment.queue.noteEnd(this.chains.getTokens(), held);
+    /** Releases the resources of an attempt. */
+    private releaseAttempt(attempt: StreamAttempt): void {
+        const heldMilliseconds = attempt.firstEventAt !== undefined ? this.getTime() - attempt.sentAt : undefined;
+        this.environment.queue.noteEnd(this.chains.getTokens(), heldMilliseconds);
         this.firstSentAt ??= attempt.exchange?.getSentTime();
         attempt.reservation.release();
     }
 
-    private isRepeatable(): boolean {
+    private isResumable(): boolean {
         return this.task.route.isResumable;
     }
 
     /**
-     * Ends the request without a whole answer.
-     * @param cause - Why.
-     * @param notRun - What its caller is told where nothing of it has run.
+     * Ends the request without a complete answer.
+     * @param cause - Why it ends.
+     * @param notRun - Answer to the caller if the request has not run.
      */
     private giveUp(cause: string, notRun: RelayRefusal = createRefusal.notRun(cause)): void {
-        const { failure } = this;
+        const { failureAnswer } = this;
         if (this.isHeadWritten) {
             this.task.sink.cut();
             this.finish("cut", cause);
             return;
         }
-        if (failure !== undefined) {
-            sendWholeAnswer(this.task.sink, failure);
+        if (failureAnswer !== undefined) {
+            sendWholeAnswer(this.task.sink, failureAnswer);
             this.finish("endpointFailed", cause);
             return;
         }
         this.refuse(this.mayHaveRun ? createRefusal.outcomeUnknown(cause) : notRun);
     }
 
-    private expire(): void {
+    private handleTimeout(): void {
         if (this.isHeadWritten) {
             this.task.sink.cut();
             this.finish("cutAtTimeout");
@@ -478,17 +482,17 @@
         }
         this.isDone = true;
         this.timer?.cancel();
-        if (this.queued !== undefined) {
-            this.environment.queue.remove(this.queued);
+        if (this.queuedRelay !== undefined) {
+            this.environment.queue.remove(this.queuedRelay);
         }
         const { attempt } = this;
         this.attempt = undefined;
         attempt?.exchange?.abort();
         if (attempt !== undefined) {
-            this.leave(attempt);
+            this.releaseAttempt(attempt);
         }
         const { firstSentAt } = this;
-        this.story.writeEnd({ outcome, cause, sendings: this.allowance.getSendings(), attempt, firstSentAt });
+        this.logger.writeEnd({ outcome, cause, sendings: this.attemptLimit.getSendings(), attempt, firstSentAt });
         this.onDone();
     }
 
@@ -497,7 +501,7 @@
     }
 }
 
-/** Gets the endpoint of a chain that an answer names as being at fault; the first one where it names none. */
-function getFaulty({ stages }: StreamAttempt, address: string | undefined): RegisteredEndpoint {
+/** Gets the endpoint that an answer names as faulty, or the first endpoint of the chain if it names none. */
+function getFaultyEndpoint({ stages }: StreamAttempt, address: string | undefined): RegisteredEndpoint {
     return (stages.find(({ endpoint }) => endpoint.address === address) ?? stages[0]!).endpoint;
 }
--- a/src/request/relay/streamStory.ts
+++ b/src/request/relay/streamStory.ts
@@ -8,13 +8,13 @@
 import type { StreamAttemptEnd } from "./streamAttemptEnd.ts";
 import type { StreamProgress } from "./streamProgress.ts";
 
-/** An attempt that has failed, for the log. */
+/** A failed attempt, for the log. */
 interface FailedAttempt {
     attempt: StreamAttempt;
     end: StreamAttemptEnd;
-    /** How often the request was sent until then. */
+    /** Number of attempts so far. */
     sendings: number;
-    /** Part of the first stage's memory that was taken. */
+    /** Used fraction of the first stage's memory. */
     memoryPart: number;
 }
 
@@ -22,20 +22,20 @@
 interface EndedRequest {
     outcome: string;
     cause: string;
-    /** How often the request was sent. */
+    /** Number of attempts. */
     sendings: number;
-    /** What was still running. */
+    /** The attempt that was in progress. */
     attempt: StreamAttempt | undefined;
-    /** Monotonic time in milliseconds at which the first byte left for an endpoint. */
+    /** Monotonic time in milliseconds at which the first byte was sent to an endpoint. */
     firstSentAt: number | undefined;
 }
 
-/** The lines of the log on one streamed request. */
+/** Writes the log entries of a streamed request. */
 export class StreamStory {
     private readonly environment: RelayEnvironment;
     private readonly task: RelayTask;
     private readonly progress: StreamProgress;
-    private reroutes = 0;
+    private rerouteCount = 0;
 
     private constructor(environment: RelayEnvironment, task: RelayTask, progress: StreamProgress) {
         this.environment = environment;
@@ -43,14 +43,14 @@
         this.progress = progress;
     }
 
-    /** Creates the lines of a request that was not sent yet. */
+    /** Creates the logger of a request that was not sent yet. */
     static create(environment: RelayEnvironment, task: RelayTask, progress: StreamProgress): StreamStory {
         return new StreamStory(environment, task, progress);
     }
 
-    /** Writes that the request was moved to another chain. */
+    /** Logs that the request was moved to another chain. */
     writeReroute(stages: readonly RelayStage[]): void {
-        this.reroutes += 1;
+        this.rerouteCount += 1;
         this.environment.log.write(events.relayRerouted, {
             request: this.task.request.id,
             chain: formatStages(stages),
@@ -58,7 +58,7 @@
         });
     }
 
-    /** Writes why an attempt has failed. */
+    /** Logs why an attempt failed. */
     writeFailure({ attempt, end, sendings, memoryPart }: FailedAttempt): void {
         this.environment.log.write(events.relayAttemptFailed, {
             request: this.task.request.id,
@@ -70,12 +70,12 @@
             lastEvent: this.progress.getLastId(),
             fingerprint: this.task.fingerprint,
             memoryPart: Number(memoryPart.toFixed(2)),
-            eventMilliseconds: Math.round(getEventTime(attempt)),
+            eventMilliseconds: Math.round(getEventDuration(attempt)),
             milliseconds: this.getMillisecondsSince(attempt.sentAt),
         });
     }
 
-    /** Writes how the request has ended. */
+    /** Logs how the request ended. */
     writeEnd({ outcome, cause, sendings, attempt, firstSentAt }: EndedRequest): void {
         const { request, route, fingerprint, takenUpLateMilliseconds } = this.task;
         const { arrivedAt } = request;
@@ -86,7 +86,7 @@
             cause,
             fingerprint,
             attempts: sendings,
-            reroutes: this.reroutes,
+            reroutes: this.rerouteCount,
             events: this.progress.getCount(),
             chain: attempt === undefined ? "" : formatStages(attempt.stages),
             promptTokens: request.promptTokens,
@@ -103,7 +103,7 @@
     }
 }
 
-/** Gets the time from the first event of a run to its last one, in milliseconds. */
-function getEventTime({ firstEventAt, lastProgressAt }: StreamAttempt): number {
+/** Gets the time from the first event of an attempt to its last progress, in milliseconds. */
+function getEventDuration({ firstEventAt, lastProgressAt }: StreamAttempt): number {
     return firstEventAt === undefined ? 0 : lastProgressAt - firstEventAt;
 }
--- a/src/request/relay/suspicion.ts
+++ b/src/request/relay/suspicion.ts
@@ -1,7 +1,7 @@
-/** An endpoint that new requests keep away from, for the peers. */
+/** An endpoint that new requests should avoid, as reported to peers. */
 export interface Suspicion {
     endpointId: string;
     remainingMilliseconds: number;
-    /** Whether it refuses new requests, as its own state shows, also while it still serves those that it has. */
+    /** Whether its own state shows that it refuses new requests, even if it still serves its running ones. */
     isRefusing: boolean;
 }
--- a/src/request/relay/wholeAnswer.ts
+++ b/src/request/relay/wholeAnswer.ts
@@ -1,6 +1,6 @@
 import type { AnswerHead } from "./answerHead.ts";
 
-/** An answer of an endpoint that has come to its end. */
+/** A complete answer of an endpoint. */
 export interface WholeAnswer {
     head: AnswerHead;
     body: Buffer;
--- a/tests/request/relay/pipeShares.test.ts
+++ b/tests/request/relay/pipeShares.test.ts
@@ -10,7 +10,7 @@
 const nodeCount = 17;
 
 describe("PipeShares", () => {
-    it("has a request wait for what was sent over the same pipe in the same direction", () => {
+    it("delays a request behind earlier ones on the same link in the same direction", () => {
         const shares = PipeShares.create(() => 1);
         shares.take("a", "b", relayModel, tokens, 0);
         assert.equal(shares.getWait("a", "b", 0), 0);
@@ -21,7 +21,7 @@
         assert.equal(shares.getWait("a", "b", 10 * transferTime), 0);
     });
 
-    it("gives a node the less the more others there are", () => {
+    it("gives each node a smaller share if there are more nodes", () => {
         const shares = PipeShares.create(() => 1 / nodeCount);
         shares.take("a", "b", relayModel, tokens, 0);
         shares.take("a", "b", relayModel, tokens, 0);
@@ -29,29 +29,30 @@
     });
 
     /**
-     * No data centre had a whole chain for five seconds, and all requests crossed the same pipe, three times as many as it carries:
-     * of 339 requests sent meanwhile 337 ended with their callers gone, since each waited behind the prompts of all before it.
+     * Guards against a congested link: if no data centre holds a whole chain for five seconds, all requests cross the same link, three
+     * times as many as it carries. Without pacing, each request queues behind the prompts of all earlier ones, and nearly all callers give
+     * up (337 of 339 requests).
      */
-    it("lets over a pipe what it carries in time, where three times as much asks for it", () => {
-        const { started, late } = cross(3);
+    it("keeps requests on a link in time at three times its capacity", () => {
+        const { started, late } = simulateLink(3);
         assert.ok(started > 0.6, `${started} of what the pipe carries`);
         assert.ok(late < 0.05, `${late} of those that started`);
     });
 
-    it("holds nothing up where a pipe is asked for half of what it carries", () => {
-        const { started, late } = cross(0.5);
+    it("does not delay requests on a link at half of its capacity", () => {
+        const { started, late } = simulateLink(0.5);
         assert.ok(started > 0.45, `${started} of what the pipe carries`);
         assert.ok(late < 0.05, `${late} of those that started`);
     });
 });
 
 /**
- * Plays requests of many nodes for one pipe, which sends one after the other. A request that its node doesn't let start tries again
- * for as long as it can be in time.
- * @param load - Requests, as a multiple of what the pipe carries.
- * @returns Requests that started, as a part of what the pipe carries, and the part of these that waited for too long in the pipe.
+ * Simulates requests from many nodes over one link, which transfers one after the other. A request that its node doesn't start yet is
+ * retried for as long as it can be in time.
+ * @param load - Offered load, as a multiple of the link's capacity.
+ * @returns The started requests as a fraction of the link's capacity, and the fraction of these that waited too long for the link.
  */
-function cross(load: number): { started: number; late: number; } {
+function simulateLink(load: number): { started: number; late: number; } {
     const random = createSeededRandom(3);
     const nodes = Array.from({ length: nodeCount }, () => PipeShares.create(() => 1 / nodeCount));
     const patience = 30 * transferTime;
@@ -59,25 +60,25 @@
     const end = 1_000 * transferTime;
     const step = transferTime / 4;
     let waiting: { node: PipeShares; until: number; }[] = [];
-    let pipeFreeAt = 0;
+    let linkFreeAt = 0;
     let started = 0;
     let late = 0;
     for (let now = 0; now < end; now += step) {
         if (random() < load / 4) {
             waiting.push({ node: nodes[Math.floor(random() * nodeCount)]!, until: now + patience });
         }
-        const left: typeof waiting = [];
+        const stillWaiting: typeof waiting = [];
         for (const request of waiting) {
             if (request.node.getWait("a", "b", now) > 0) {
-                left.push(request);
+                stillWaiting.push(request);
                 continue;
             }
             request.node.take("a", "b", relayModel, tokens, now);
-            pipeFreeAt = Math.max(pipeFreeAt, now) + transferTime;
+            linkFreeAt = Math.max(linkFreeAt, now) + transferTime;
             started += 1;
-            late += pipeFreeAt - now > longestWait ? 1 : 0;
+            late += linkFreeAt - now > longestWait ? 1 : 0;
         }
-        waiting = left.filter(({ until }) => now < until);
+        waiting = stillWaiting.filter(({ until }) => now < until);
     }
     return { started: started * transferTime / end, late: late / started };
 }
--- a/tests/request/relay/quarantine/taskQuarantine.test.ts
+++ b/tests/request/relay/quarantine/taskQuarantine.test.ts
@@ -29,8 +29,8 @@
     return relay;
 }
 
-/** Lets the newest run go on for a time, and ends its endpoint. */
-async function endEndpoint(bench: RelayBench, milliseconds = runMilliseconds): Promise<void> {
+/** Lets the latest attempt run for some time, then crashes its endpoint. */
+async function crashEndpoint(bench: RelayBench, milliseconds = runMilliseconds): Promise<void> {
     const { listener } = bench.sendings.at(-1)!;
     await bench.clock.advance(milliseconds);
     listener.onFailure(broken);
@@ -40,42 +40,42 @@
     bench.sendings.at(-1)!.listener.onData(Buffer.from(`id: ${id}\ndata: x\n\n`));
 }
 
-describe("A request under which endpoints end", () => {
-    it("goes to a second one and no further, and isn't sent at all when its caller comes again", async () => {
+describe("A request whose endpoints crash", () => {
+    it("is sent to a second endpoint but no further, and is not sent at all when its caller retries", async () => {
         const bench = createBench();
         startStream(bench);
-        await endEndpoint(bench);
+        await crashEndpoint(bench);
         assert.equal(bench.sendings.length, 2);
-        await endEndpoint(bench);
+        await crashEndpoint(bench);
         assert.equal(bench.sendings.length, 2);
         startStream(bench);
         assert.equal(bench.sendings.length, 2);
         assert.deepEqual(bench.answers, ["outcomeUnknown", "heldBack"]);
     });
 
-    it("goes on elsewhere where a chain has run it for some time before", async () => {
+    it("continues on other chains if a chain has run it for some time before", async () => {
         const bench = createBench();
         startStream(bench);
         bench.sendings[0]!.listener.onHead(200, headers);
         sendEvent(bench, 1);
         await bench.clock.advance(300);
         sendEvent(bench, 2);
-        for (const sendings of [2, 3, 4]) {
-            await endEndpoint(bench);
-            assert.equal(bench.sendings.length, sendings);
+        for (const count of [2, 3, 4]) {
+            await crashEndpoint(bench);
+            assert.equal(bench.sendings.length, count);
         }
     });
 
-    it("isn't suspected where the endpoint had ended before it came", async () => {
+    it("is not suspected if the endpoint had crashed before it arrived", async () => {
         const bench = createBench();
         startStream(bench);
-        for (const sendings of [2, 3, 4]) {
-            await endEndpoint(bench, 1);
-            assert.equal(bench.sendings.length, sendings);
+        for (const count of [2, 3, 4]) {
+            await crashEndpoint(bench, 1);
+            assert.equal(bench.sendings.length, count);
         }
     });
 
-    it("isn't sent where they ended while it waited for room", async () => {
+    it("is not sent if other endpoints crashed while it waited for room", async () => {
         const bench = createBench();
         for (const id of ["1", "2", "3", "4"]) {
             bench.environment.loads.noteFull(id, 0);
@@ -90,7 +90,7 @@
         assert.deepEqual(bench.answers, ["heldBack"]);
     });
 
-    it("isn't moved to another chain where they are later stages", async () => {
+    it("is not moved to another chain if a later stage crashed", async () => {
         const bench = createBench();
         const relay = startStream(bench);
         await bench.clock.advance(runMilliseconds);
@@ -99,28 +99,28 @@
         assert.equal(relay.chooseReroute(new Set()), undefined);
     });
 
-    it("is held back in the same way where they are document services", async () => {
+    it("is held back in the same way for document services", async () => {
         const bench = createBench();
         const start = () =>
             DocumentRelay.start(bench.environment, createTask(bench, RequestKind.Idempotent), () => undefined);
         start();
-        await endEndpoint(bench, 20);
-        await endEndpoint(bench, 20);
+        await crashEndpoint(bench, 20);
+        await crashEndpoint(bench, 20);
         assert.equal(bench.sendings.length, 2);
         start();
         assert.equal(bench.sendings.length, 2);
         assert.deepEqual(bench.answers, ["outcomeUnknown", "heldBack"]);
     });
 
-    it("isn't suspected where the endpoint answered with a failure of its own", async () => {
+    it("is not suspected if the endpoint answered with a failure of its own", async () => {
         const bench = createBench();
         const start = () =>
             DocumentRelay.start(bench.environment, createTask(bench, RequestKind.Idempotent), () => undefined);
         start();
         bench.sendings[0]!.listener.onHead(500, headers);
         bench.sendings[0]!.listener.onEnd();
-        await endEndpoint(bench, 20);
-        await endEndpoint(bench, 20);
+        await crashEndpoint(bench, 20);
+        await crashEndpoint(bench, 20);
         assert.equal(bench.sendings.length, 4);
     });
 });
--- a/tests/request/relay/refusalWatch.test.ts
+++ b/tests/request/relay/refusalWatch.test.ts
@@ -23,7 +23,7 @@
     };
 }
 
-async function findOut(report: EndpointReport | undefined, later = report) {
+async function checkRefusal(report: EndpointReport | undefined, later = report) {
     const health = EndpointHealth.create();
     const clock = FakeClock.create();
     const reports = [report, later];
@@ -42,36 +42,36 @@
 }
 
 describe("RefusalWatch", () => {
-    it("keeps requests away from an endpoint that refuses with room to spare, and from one that doesn't answer", async () => {
-        assert.deepEqual(await findOut(createReport(200)), { isKeptAway: true, found: 1 });
-        assert.deepEqual(await findOut(undefined), { isKeptAway: true, found: 1 });
+    it("avoids an endpoint that refuses although it has room, and one that doesn't answer", async () => {
+        assert.deepEqual(await checkRefusal(createReport(200)), { isKeptAway: true, found: 1 });
+        assert.deepEqual(await checkRefusal(undefined), { isKeptAway: true, found: 1 });
     });
 
-    it("leaves one that is full to those who wait for room", async () => {
-        assert.deepEqual(await findOut(createReport(900)), { isKeptAway: false, found: 0 });
+    it("does not avoid a full endpoint, which accepts requests again when room becomes free", async () => {
+        assert.deepEqual(await checkRefusal(createReport(900)), { isKeptAway: false, found: 0 });
     });
 
     /**
-     * After a loss the requests of all nodes came to the endpoint that was left; it was full, and its report was of the moment before
-     * (`FL1722`, 43,600 of 465,277 used, then 382,280).
+     * Guards against trusting a stale report: after a loss, the requests of all nodes fill the remaining endpoint, whose first report
+     * is from just before and still shows room (`FL1722`: 43,600 of 465,277 token layers used, then 382,280).
      */
-    it("leaves one to them whose first report is older than what has filled it", async () => {
-        assert.deepEqual(await findOut(createReport(100), createReport(900)), { isKeptAway: false, found: 0 });
+    it("does not avoid a full endpoint whose first report is older than the requests that filled it", async () => {
+        assert.deepEqual(await checkRefusal(createReport(100), createReport(900)), { isKeptAway: false, found: 0 });
     });
 
     /**
-     * A quarter of the endpoints left while the store, whose records would have told of it, was away. They went on with the
-     * streams that they had, so that no node believed a peer's suspicion; each of 65 nodes found each of 16 endpoints by refused
-     * requests, again and again: 679 in eight seconds (`FL1711`), which used up what all nodes may repeat, and 243 requests were turned
-     * away (`FL1716`) that other endpoints had room for.
+     * Guards against an exhausted retry budget when a quarter of the endpoints drain while the store is unavailable. They continue their
+     * running streams, so no node believes a peer's suspicion, and each of 65 nodes discovers each of 16 endpoints by refused requests
+     * again and again: 679 failed attempts (`FL1711`) in eight seconds, after which 243 requests were rejected (`FL1716`) although other
+     * endpoints had room.
      */
-    it("lets few requests of all nodes be refused when many endpoints leave at once and their records don't tell", async () => {
+    it("limits refused requests when many endpoints drain at once without a record of it", async () => {
         const refused = await countRefused();
         assert.ok(refused < 100, `${refused} of 1600 were refused`);
     });
 });
 
-/** Plays eight seconds of 200 requests a second to 65 nodes over 64 endpoints, of which 16 refuse. */
+/** Counts the refused requests in eight seconds of 200 requests per second to 65 nodes with 64 endpoints, of which 16 refuse. */
 async function countRefused(): Promise<number> {
     const random = createSeededRandom(1);
     const clock = FakeClock.create();
@@ -100,7 +100,7 @@
             void watch.note(createEndpoint(`e${chosen}`));
         }
         for (const { node } of nodes) {
-            // The streams that run go on, and each node tells another one of its beliefs every 450 ms, or 100 ms after news.
+            // Running streams continue. Each node sends its suspicions to another node every 450 ms, or within 100 ms if it has news.
             for (let index = 0; index < 16; index += 1) {
                 node.health.noteAlive(`e${index}`, now);
             }
--- a/tests/request/relay/relayBench.ts
+++ b/tests/request/relay/relayBench.ts
@@ -20,20 +20,20 @@
 import { RecordingEventLog } from "../../support/recordingEventLog.ts";
 import { relayModel } from "./relayModel.ts";
 
-/** A request that was handed to a connection. */
-interface Sending {
+/** A request that was passed to a connection. */
+interface SentRequest {
     address: string;
     listener: UpstreamListener;
-    /** When its first byte left. */
+    /** Time at which its first byte was sent. */
     sentAt: number | undefined;
     isAborted: boolean;
 }
 
-/** What relays work with, over connections that do what a test says. */
+/** Relay dependencies with fake connections that a test controls. */
 export class RelayBench {
     readonly clock = FakeClock.create();
-    readonly sendings: Sending[] = [];
-    /** Final answers of the caller, such as `notRun` or `200`. */
+    readonly sendings: SentRequest[] = [];
+    /** Final answers to the caller, such as `notRun` or `200`. */
     readonly answers: string[] = [];
     readonly environment: RelayEnvironment;
 
@@ -81,12 +81,12 @@
         };
     }
 
-    /** Creates a bench over endpoints. */
+    /** Creates the dependencies for a set of endpoints. */
     static create(endpoints: RegisteredEndpoint[]): RelayBench {
         return new RelayBench(endpoints);
     }
 
-    /** Creates a request of a kind, for the service of the endpoints. */
+    /** Creates a request of a kind for the endpoints' service. */
     createTask(kind: RequestKind, isResumable = false): RelayTask {
         const sink: AnswerSink = {
             onClosed: () => undefined,
@@ -138,13 +138,13 @@
     }
 
     private send(address: string, listener: UpstreamListener) {
-        const sending: Sending = { address, listener, sentAt: undefined, isAborted: false };
-        this.sendings.push(sending);
+        const sentRequest: SentRequest = { address, listener, sentAt: undefined, isAborted: false };
+        this.sendings.push(sentRequest);
         return {
             abort: () => {
-                sending.isAborted = true;
+                sentRequest.isAborted = true;
             },
-            getSentTime: () => sending.sentAt,
+            getSentTime: () => sentRequest.sentAt,
         };
     }
 }
--- a/tests/request/relay/relayModel.ts
+++ b/tests/request/relay/relayModel.ts
@@ -4,10 +4,10 @@
 import type { StageQuery } from "../../../src/request/relay/stageQuery.ts";
 import type { EngineModel } from "../../../src/version/routing/engineModel.ts";
 
-/** A model of 80 layers over three kinds of accelerators. */
+/** A model with 80 layers and three accelerator kinds. */
 export const relayModel: EngineModel = experimentModel;
 
-/** A usual request for a chain of the model. */
+/** A typical query for a chain of the model. */
 export const stageQuery: StageQuery = {
     model: relayModel,
     promptTokens: 800,
@@ -38,7 +38,7 @@
     };
 }
 
-/** Creates a candidate that holds layers and has room for requests. */
+/** Creates a candidate that holds a range of layers and has room for requests. */
 export function createCandidate(
     id: string,
     start: number,
--- a/tests/request/relay/relayQueue.test.ts
+++ b/tests/request/relay/relayQueue.test.ts
@@ -45,7 +45,7 @@
 }
 
 describe("RelayQueue", () => {
-    it("starts by rank as soon as it is told that room has come free", async () => {
+    it("starts requests by rank as soon as it is notified that room is free", async () => {
         const { clock, queue, log, room, ask } = createBench();
         ask("first");
         ask("urgent", 0);
@@ -55,7 +55,7 @@
         assert.deepEqual(log, ["start urgent"]);
     });
 
-    it("finds room that came free without a sign", async () => {
+    it("finds room that became free without a notification", async () => {
         const { clock, log, waits, room, ask } = createBench();
         ask("first");
         await clock.advance(10);
@@ -65,7 +65,7 @@
         assert.deepEqual(waits, [[50, 0]]);
     });
 
-    it("turns away at the end of the time, and not what was taken out", async () => {
+    it("rejects a request when its wait ends, but not one that was removed", async () => {
         const { clock, queue, log, ask } = createBench();
         ask("first");
         queue.remove(ask("second"));
--- a/tests/request/relay/streamProgress.test.ts
+++ b/tests/request/relay/streamProgress.test.ts
@@ -5,7 +5,7 @@
 import { StreamProgress } from "../../../src/request/relay/streamProgress.ts";
 
 describe("StreamProgress", () => {
-    it("passes events on with rising ids only, and shows a missing one", () => {
+    it("passes only events with increasing ids, and detects a missing one", () => {
         const progress = StreamProgress.create(3);
         const verdicts = [3, 4, 5, 4, undefined, 7, 6].map(id => progress.take(id, 0));
         const { Pass, Repeat, Gap } = EventVerdict;
@@ -13,12 +13,12 @@
         assert.equal(progress.getLastId(), 6);
     });
 
-    it("lets ids skip where they have skipped before", () => {
+    it("allows gaps between ids if there were gaps before", () => {
         const progress = StreamProgress.create(0);
         assert.deepEqual([5, 10, 20].map(id => progress.take(id, 0)), ["pass", "pass", "pass"]);
     });
 
-    it("measures the first event and the longest pause", () => {
+    it("measures the time of the first event and the longest gap", () => {
         const progress = StreamProgress.create(0);
         for (const [id, now] of [[1, 100], [2, 150], [3, 400], [4, 420]] as const) {
             progress.take(id, now);
@@ -27,13 +27,13 @@
         assert.equal(progress.getLongestGap(), 250);
     });
 
-    it("gives each event once and in order, whichever runs are joined", () => {
+    it("passes each event once and in order for any sequence of attempts", () => {
         const run = fc.record({ skipped: fc.integer({ min: 0, max: 4 }), length: fc.integer({ min: 0, max: 6 }) });
         fc.assert(fc.property(fc.array(run, { maxLength: 8 }), runs => {
             const progress = StreamProgress.create(0);
             const passed: number[] = [];
             for (const { skipped, length } of runs) {
-                // A run goes on after the last event, or some events before it.
+                // An attempt resumes after the last event, or some events earlier.
                 const first = Math.max(0, progress.getLastId() - skipped) + 1;
                 for (let id = first; id < first + length; id++) {
                     if (progress.take(id, 0) === EventVerdict.Pass) {
--- a/tests/request/relay/streamRelay.test.ts
+++ b/tests/request/relay/streamRelay.test.ts
@@ -18,35 +18,35 @@
 }
 
 describe("StreamRelay", () => {
-    it("goes on elsewhere where its first stage was given up before a byte was sent, though it may not be repeated", () => {
+    it("retries on another chain if its first stage is abandoned before a byte was sent, even if it is not resumable", () => {
         const { bench, relay } = start(["1", "2"]);
         relay.abandonChain([relay.getStages()![0]!.endpoint.id], "the first stage does not answer.");
         assert.equal(bench.sendings.length, 2);
         assert.deepEqual(bench.answers, []);
     });
 
-    it("says that nothing ran where no byte was ever sent", () => {
+    it("reports that the request was not run if no byte was sent", () => {
         const { bench, relay } = start(["1"]);
         relay.abandonChain(["1"], "the first stage does not answer.");
         assert.deepEqual(bench.answers, ["notRun"]);
     });
 
-    it("doesn't know what became of a request of which bytes were sent", () => {
+    it("reports an unknown outcome if bytes of the request were sent", () => {
         const { bench, relay } = start(["1", "2"]);
         bench.sendings[0]!.sentAt = 0;
         relay.abandonChain(["1", "2"], "the first stage does not answer.");
         assert.deepEqual(bench.answers, ["outcomeUnknown"]);
     });
 
-    it("says that nothing ran where the time is over before a byte was sent", async () => {
+    it("reports that the request was not run if it times out before a byte was sent", async () => {
         const { bench } = start(["1"]);
         await bench.clock.advance(1_100);
         assert.deepEqual(bench.answers, ["notRun"]);
     });
 
-    // Seed 300 of the soak: an endpoint left the signature out for 1.8 s, and 16 callers got status 200 with its events as a whole
-    // answer. The relay took it for a failure of the endpoint ("the endpoint answered 200." in FL1711), and passed it on as one.
-    it("never passes on a success without a signature", () => {
+    // Guards against forwarding an unsigned success: an endpoint left the signature out for 1.8 s, the relay treated its answers as
+    // failures ("the endpoint answered 200." in FL1711) and forwarded them, and 16 callers got status 200 with a complete answer.
+    it("never forwards a success without a signature", () => {
         const { bench } = start(["1"]);
         const { listener } = bench.sendings[0]!;
         listener.onHead(200, { "request-id": "request" });
@@ -55,7 +55,7 @@
         assert.deepEqual(bench.answers, ["outcomeUnknown"]);
     });
 
-    it("is refused at once where no endpoints together hold the model", () => {
+    it("refuses immediately if the endpoints together do not hold the whole model", () => {
         const { bench } = start([]);
         assert.deepEqual(bench.answers, []);
         const other = RelayBench.create([createEndpoint("1", { layers: { start: 0, end: 40 } })]);
