--- a/src/request/admission/adaptiveLimit.ts
+++ b/src/request/admission/adaptiveLimit.ts
@@ -1,59 +1,59 @@
-/** Part of the running requests that goes on after a refusal. */
+/** Factor by which a refusal reduces the limit. */
 const decreaseFactor = 0.9;
 
-/** Part of a place that a run that ended well adds: the limit grows by this part in a round of runs. */
+/** Amount that each successful request adds, so one round of requests at the limit raises it by this fraction. */
 const increasePerRun = 0.1;
 
 /**
- * A limit of the requests in progress that is learned from the refusals of the engines: it shrinks by a tenth
- * on a refusal and grows by as much in a round of runs that uses it up. It only ever lowers the limit that was given.
+ * Concurrency limit that adapts to the refusals of the engines: it decreases by a tenth on a refusal and increases by a
+ * tenth in a round of successful requests that uses the whole limit. It never exceeds the given upper limit.
  */
 export class AdaptiveLimit {
-    private learned = Number.POSITIVE_INFINITY;
+    private learnedLimit = Number.POSITIVE_INFINITY;
     private decreasedAt = Number.NEGATIVE_INFINITY;
 
     private constructor() {}
 
-    /** Creates a limit that has learned nothing yet: the given limit holds. */
+    /** Creates a limit that equals the upper limit until the first refusal. */
     static create(): AdaptiveLimit {
         return new AdaptiveLimit();
     }
 
     /**
-     * Gets the limit in force; at least 1 unless the given limit is lower.
-     * @param given - Upper limit.
+     * Gets the current limit; at least 1 unless the upper limit is lower.
+     * @param upperLimit - Upper limit.
      */
-    getLimit(given: number): number {
-        return Math.min(given, Math.max(1, Math.floor(this.learned)));
+    getLimit(upperLimit: number): number {
+        return Math.min(upperLimit, Math.max(1, Math.floor(this.learnedLimit)));
     }
 
     /**
-     * Lowers the limit, once for the refusals of one round of runs.
-     * @param running - Requests in progress, the refused one among them.
-     * @param roundMilliseconds - Time of a run.
+     * Lowers the limit, at most once per mean run time.
+     * @param running - Number of requests in flight, including the refused one.
+     * @param meanRunMilliseconds - Mean run time of a request.
      * @param now - Monotonic time in milliseconds.
      */
-    observeRefusal(running: number, roundMilliseconds: number, now: number): void {
-        if (now - this.decreasedAt < roundMilliseconds) {
+    observeRefusal(running: number, meanRunMilliseconds: number, now: number): void {
+        if (now - this.decreasedAt < meanRunMilliseconds) {
             return;
         }
         this.decreasedAt = now;
-        this.learned = Math.max(1, Math.min(this.learned, running) * decreaseFactor);
+        this.learnedLimit = Math.max(1, Math.min(this.learnedLimit, running) * decreaseFactor);
     }
 
     /**
-     * Raises the limit after a run that ended well.
-     * @param running - Requests in progress before the run ended.
-     * @param given - Upper limit; the learned one is given up on reaching it.
+     * Raises the limit after a successful request.
+     * @param running - Number of requests in flight, including the successful one.
+     * @param upperLimit - Upper limit; the learned limit is discarded when it reaches this.
      */
-    observeSuccess(running: number, given: number): void {
-        // A limit that is not used up says nothing about what the engines can take.
-        if (running < Math.floor(this.learned)) {
+    observeSuccess(running: number, upperLimit: number): void {
+        // If the limit is not fully used, success does not show that the engines could serve more.
+        if (running < Math.floor(this.learnedLimit)) {
             return;
         }
-        this.learned += increasePerRun;
-        if (this.learned >= given) {
-            this.learned = Number.POSITIVE_INFINITY;
+        this.learnedLimit += increasePerRun;
+        if (this.learnedLimit >= upperLimit) {
+            this.learnedLimit = Number.POSITIVE_INFINITY;
         }
     }
 }
--- a/src/request/admission/admission.ts
+++ b/src/request/admission/admission.ts
@@ -10,28 +10,28 @@
 import { ServiceGate } from "./serviceGate.ts";
 import { Waiter } from "./waiter.ts";
 
-/** Largest part of the node's queue that one customer may hold. */
-const maximumCustomerPart = 0.5;
+/** Maximum fraction of the node's queue that one customer may occupy. */
+const maximumCustomerQueueFraction = 0.5;
 
 /**
- * Decides which requests run, which wait and which are refused. A refused request has not run: nothing is sent
- * before the ticket is given, and a request that is given up is answered at once.
+ * Admission control: decides which requests run, wait or are refused. A refused request has not run, since nothing is
+ * sent to an endpoint before the ticket is issued.
  */
 export class Admission {
     private readonly gates = new Map<string, ServiceGate<Waiter>>();
     private readonly options: AdmissionOptions;
-    private draining = false;
+    private isDraining = false;
 
     private constructor(options: AdmissionOptions) {
         this.options = options;
     }
 
-    /** Creates an admission at which nothing runs or waits. */
+    /** Creates an admission without running or waiting requests. */
     static create(options: AdmissionOptions): Admission {
         return new Admission(options);
     }
 
-    /** Requests that wait on this node. */
+    /** Number of requests that wait on this node. */
     get waitingCount(): number {
         let count = 0;
         for (const gate of this.gates.values()) {
@@ -40,7 +40,7 @@
         return count;
     }
 
-    /** Gets the load of each gate that was asked for, in requests. */
+    /** Gets the load of each gate that has been used, in requests. */
     getGateLoads(): { gate: string; running: number; waiting: number; limit: number; }[] {
         return [...this.gates].map(([name, gate]) => ({
             gate: name,
@@ -51,9 +51,8 @@
     }
 
     /**
-     * Asks to run a request.
-     * @param request - What is to run, for whom and until when.
-     * @returns The ticket to run it, or the refusal; never rejects.
+     * Waits until a request may run or is refused.
+     * @returns The ticket to run it, or the refusal; the promise never rejects.
      */
     requestAdmission(request: AdmissionRequest): Promise<Result<AdmissionTicket, Refusal>> {
         const now = this.options.clock.getMonotonicTime();
@@ -65,17 +64,17 @@
         this.enqueue(waiter, now);
         this.admitWaiting(request.gate);
         if (waiter.entry?.isWaiting) {
-            this.watch(waiter, now);
+            this.limitWait(waiter, now);
         }
         return waiter.result;
     }
 
-    /** Admits what may start now; call it after the concurrency limit of a gate has grown. */
+    /** Admits the waiting requests that may start now; call it after the concurrency limit of a gate has increased. */
     admitWaiting(gateName: string): void {
         const gate = this.getGate(gateName);
         const now = this.options.clock.getMonotonicTime();
         for (let waiter = gate.takeNext(now); waiter !== undefined; waiter = gate.takeNext(now)) {
-            // Its timer is late: the loop was busy.
+            // The event loop was busy, so the waiter's timer has not fired yet.
             if (waiter.latestStart < now) {
                 this.refuseWaiter(waiter, gate.createWaitRefusal(waiter.request, this.maximumWait, now));
                 continue;
@@ -85,14 +84,14 @@
         }
     }
 
-    /** Counts that an engine had no memory for a request that was admitted; call it before the ticket's release. */
+    /** Records that an engine refused an admitted request for lack of memory; call it before releasing the ticket. */
     observeRefusal(gateName: string): void {
         this.getGate(gateName).observeRefusal(this.options.clock.getMonotonicTime());
     }
 
-    /** Refuses all new and waiting requests from now on; those that run go on. */
+    /** Refuses all new and waiting requests from now on; running requests continue. */
     startDraining(): void {
-        this.draining = true;
+        this.isDraining = true;
         for (const gate of this.gates.values()) {
             for (let entry = gate.queue.dequeue(); entry !== undefined; entry = gate.queue.dequeue()) {
                 entry.item.refuse(createDrainingRefusal(this.options.random));
@@ -100,13 +99,13 @@
         }
     }
 
-    /** Longest wait of any request, in milliseconds. */
+    /** Maximum wait of any request, in milliseconds. */
     private get maximumWait(): number {
         return this.options.getConfiguration().limits.maximumQueueMilliseconds;
     }
 
     private getRefusal(request: AdmissionRequest, now: number): Refusal | undefined {
-        if (this.draining) {
+        if (this.isDraining) {
             return createDrainingRefusal(this.options.random);
         }
         if (request.signal?.aborted) {
@@ -130,9 +129,10 @@
             return undefined;
         }
         const maximum = this.options.getConfiguration().limits.maximumQueuedRequests;
-        const isOverOwnPart = gate.queue.getCustomerCount(request.customer) >= Math.ceil(maximum * maximumCustomerPart);
+        const isOverCustomerFraction =
+            gate.queue.getCustomerCount(request.customer) >= Math.ceil(maximum * maximumCustomerQueueFraction);
         const isFull = this.waitingCount >= maximum;
-        if (isOverOwnPart || isFull && this.getEntryToEvict(gate, request) === undefined) {
+        if (isOverCustomerFraction || isFull && this.getEntryToEvict(gate, request) === undefined) {
             return gate.createQueueRefusal(request, this.maximumWait, now);
         }
         return undefined;
@@ -144,7 +144,7 @@
         if (!gate.isOpen() && this.waitingCount >= this.options.getConfiguration().limits.maximumQueuedRequests) {
             const evicted = this.getEntryToEvict(gate, waiter.request)?.item;
             if (evicted !== undefined) {
-                this.giveUp(evicted, gate.createQueueRefusal(evicted.request, this.maximumWait, now));
+                this.removeAndRefuse(evicted, gate.createQueueRefusal(evicted.request, this.maximumWait, now));
             }
         }
         waiter.entry = gate.queue.enqueue({ item: waiter, customer, weight: this.getWeight(customer), cost });
@@ -159,16 +159,19 @@
         return now + Math.max(0, this.getGate(request.gate).getAllowedWait(request, this.maximumWait, now));
     }
 
-    private watch(waiter: Waiter, now: number): void {
+    private limitWait(waiter: Waiter, now: number): void {
         const { clock } = this.options;
         const gate = this.getGate(waiter.request.gate);
         const timer = clock.setTimer(waiter.latestStart - now, () => {
-            this.giveUp(waiter, gate.createWaitRefusal(waiter.request, this.maximumWait, clock.getMonotonicTime()));
+            this.removeAndRefuse(
+                waiter,
+                gate.createWaitRefusal(waiter.request, this.maximumWait, clock.getMonotonicTime()),
+            );
         });
-        waiter.watch(timer, () => this.giveUp(waiter, createCancelledRefusal()));
+        waiter.watch(timer, () => this.removeAndRefuse(waiter, createCancelledRefusal()));
     }
 
-    private giveUp(waiter: Waiter, refusal: Refusal): void {
+    private removeAndRefuse(waiter: Waiter, refusal: Refusal): void {
         if (waiter.entry !== undefined && this.getGate(waiter.request.gate).queue.remove(waiter.entry)) {
             this.refuseWaiter(waiter, refusal);
         }
--- a/src/request/admission/admissionOptions.ts
+++ b/src/request/admission/admissionOptions.ts
@@ -3,15 +3,15 @@
 import type { Configuration } from "../../version/configuration.ts";
 import type { CustomerLimits } from "./customerLimits.ts";
 
-/** What an `Admission` works with. */
+/** Options of `Admission`. */
 export interface AdmissionOptions {
     /** Gets the configuration in force. */
     getConfiguration: () => Configuration;
     clock: Clock;
-    /** Source of the spread of the returns of refused callers. */
+    /** Source of the jitter of the retry delays. */
     random: RandomSource;
-    /** Gets this node's share of what the endpoints behind a gate serve at the same time, in requests. */
+    /** Gets this node's share of the concurrency of the endpoints behind a gate, in requests. */
     getConcurrencyLimit: (gate: string) => number;
-    /** Limits of the customers, shared with the other nodes; without it no rate limit holds. */
+    /** Rate limits of the customers, shared with the other nodes; if undefined, no rate limit applies. */
     customerLimits?: CustomerLimits;
 }
--- a/src/request/admission/admissionRequest.ts
+++ b/src/request/admission/admissionRequest.ts
@@ -1,12 +1,12 @@
-/** A request that asks to be admitted. */
+/** A request for admission. */
 export interface AdmissionRequest {
     customer: string;
-    /** Name of the gate that the request passes, see `getGateName`; services of one model share one. */
+    /** Name of the gate that admits the request, see `getGateName`; services of one model share a gate. */
     gate: string;
-    /** Expected work in tokens, prompt and answer together; 1 for a call of a document service. */
+    /** Expected cost in tokens of the prompt and the answer; 1 for a call of a document service. */
     cost: number;
-    /** Monotonic time at which the answer loses its use, in milliseconds; undefined where the caller set none. */
+    /** Monotonic time after which the caller has no use for the answer, in milliseconds; undefined if the caller set none. */
     deadline?: number;
-    /** Aborted when the caller goes away. */
+    /** Aborted when the caller disconnects. */
     signal?: AbortSignal;
 }
--- a/src/request/admission/admissionTicket.ts
+++ b/src/request/admission/admissionTicket.ts
@@ -1,24 +1,24 @@
-/** What an `AdmissionTicket` is created from. */
+/** Options of {@link AdmissionTicket}. */
 interface AdmissionTicketOptions {
     customer: string;
     /** Name of the gate. */
     gate: string;
-    /** Priority of the customer for the engines; higher goes first. */
+    /** Priority of the customer at the engines; higher priorities go first. */
     priority: number;
-    /** Time between the arrival and the admission, in milliseconds. */
+    /** Time between arrival and admission. */
     queuedMilliseconds: number;
-    /** Called at most once, with the tokens that the run took; 0 where it did not run. */
+    /** Called at most once, with the tokens that the request consumed; 0 if it did not run. */
     onRelease: (tokens: number) => void;
 }
 
-/** The right to run one request. Its holder releases it when the run has ended, however it ended. */
+/** The right to run one request. The holder has to release it when the run has ended, also after an error. */
 export class AdmissionTicket {
     readonly customer: string;
-    /** Name of the gate whose place it holds. */
+    /** Name of the gate whose slot it holds. */
     readonly gate: string;
-    /** Priority of the customer for the engines; higher goes first. */
+    /** Priority of the customer at the engines; higher priorities go first. */
     readonly priority: number;
-    /** Time between the arrival and the admission, in milliseconds. */
+    /** Time between arrival and admission. */
     readonly queuedMilliseconds: number;
     private onRelease: ((tokens: number) => void) | undefined;
 
@@ -30,14 +30,14 @@
         this.onRelease = options.onRelease;
     }
 
-    /** Creates the ticket of a request that has just been given its place. */
+    /** Creates the ticket of a request that has just been admitted. */
     static create(options: AdmissionTicketOptions): AdmissionTicket {
         return new AdmissionTicket(options);
     }
 
     /**
-     * Gives the place back and settles the customer's account. A second call does nothing.
-     * @param usage - Tokens that the run took; 0 where an endpoint said that it did not run.
+     * Releases the slot and charges the customer for the tokens. A second call does nothing.
+     * @param usage - Tokens that the request consumed; 0 if an endpoint reported that it did not run.
      */
     release(usage: { tokens: number; }): void {
         const onRelease = this.onRelease;
--- a/src/request/admission/createDrainingRefusal.ts
+++ b/src/request/admission/createDrainingRefusal.ts
@@ -2,7 +2,7 @@
 import type { Refusal } from "./refusal.ts";
 import { RefusalKind } from "./refusalKind.ts";
 
-/** Time over which callers of a draining node are spread over the other nodes, in milliseconds. */
+/** Time over which the retries of a draining node's callers are spread. */
 const spreadMilliseconds = 1_000;
 
 /** Creates the refusal of a request at a node that is shutting down. */
@@ -10,6 +10,6 @@
     return {
         kind: RefusalKind.Draining,
         retryAfterMilliseconds: random() * spreadMilliseconds,
-        message: "The node is shutting down and has not run the request. Send it again; another node takes it.",
+        message: "The node is shutting down and has not run the request. Send it again; another node will accept it.",
     };
 }
--- a/src/request/admission/customerDemand.ts
+++ b/src/request/admission/customerDemand.ts
@@ -1,4 +1,4 @@
-/** One customer's requests on one node. */
+/** Request rate of one customer at one node. */
 export interface CustomerDemand {
     customer: string;
     requestsPerSecond: number;
--- a/src/request/admission/customerLimits.ts
+++ b/src/request/admission/customerLimits.ts
@@ -5,39 +5,39 @@
 import { RefusalKind } from "./refusalKind.ts";
 import { SharedRate } from "./sharedRate.ts";
 
-/** A customer that has sent requests. */
+/** Rate limit state of a customer that has sent requests. */
 interface LimitedCustomer {
-    /** Limit over all nodes, in requests a second, for which the demand is measured. */
+    /** Limit over all nodes, in requests a second, from which the time constant of the rate was derived. */
     limit: number;
     rate: SharedRate;
 }
 
-/** Requests at the limit over which a demand is measured at least, so that chance refuses few within the limit. */
+/** Minimum number of requests at the limit per time constant; with fewer, random variation refuses requests within the limit. */
 const minimumMeasuredRequests = 20;
 
-/** Requests at the limit that are enough to measure a demand; more would only make it slower. */
-const enoughMeasuredRequests = 100;
+/** Number of requests at the limit per time constant that suffices to measure the demand; more only delays the reaction. */
+const maximumMeasuredRequests = 100;
 
-/** Time over which a demand is measured where the limit allows 20 to 100 requests in it, in milliseconds. */
-const usualMemoryMilliseconds = 2_000;
+/** Time constant of the measured demand where the limit allows 20 to 100 requests in this time. */
+const defaultTimeConstantMilliseconds = 2_000;
 
-/** Shortest time over which a demand is measured, in milliseconds: about the interval of gossip. */
-const minimumMemoryMilliseconds = 250;
+/** Minimum time constant of the measured demand: about the gossip interval. */
+const minimumTimeConstantMilliseconds = 250;
 
-/** Fewer arrivals a second than this are not reported. */
-const minimumReportedDemand = 0.001;
+/** Lower demands are not reported to the peers. */
+const minimumReportedRequestsPerSecond = 0.001;
 
-/** Time for which one report serves all the peers of a round, in milliseconds. */
-const reportMilliseconds = 100;
+/** Time for which a report is reused, so that all peers of a gossip round get the same one. */
+const reportLifetimeMilliseconds = 100;
 
 const defaultMaximumRecords = 16;
 
-/** Told to a caller whose customer is not in the configuration, in milliseconds. */
+/** Retry delay for a customer that is not in the configuration. */
 const unknownCustomerRetryMilliseconds = 10_000;
 
 /**
- * Holds the customers to their requests a second over all nodes. The nodes tell each other the demand that they
- * see, and each lets through the same part of it; no node asks another before it decides.
+ * Enforces the customers' rate limits over all nodes. The nodes exchange the demand that they measure, and each admits the
+ * same fraction of its demand; decisions need no call to another node.
  */
 export class CustomerLimits {
     private readonly customers = new Map<string, LimitedCustomer>();
@@ -50,16 +50,16 @@
         this.options = options;
     }
 
-    /** Creates limits that have seen no requests and no reports of other nodes. */
+    /** Creates limits without recorded requests or peer reports. */
     static create(options: CustomerLimitsOptions): CustomerLimits {
         return new CustomerLimits(options);
     }
 
     /**
-     * Counts a request and decides whether it is within the limit.
-     * @param customer - Customer whose request it is.
+     * Counts a request against its customer's limit.
+     * @param customer - Name of the customer.
      * @param now - Monotonic time in milliseconds.
-     * @returns The refusal where it is not.
+     * @returns The refusal if the request exceeds the limit.
      */
     takeRequest(customer: string, now: number): Refusal | undefined {
         const limit = this.getLimit(customer);
@@ -74,24 +74,25 @@
         return {
             kind: RefusalKind.RateLimited,
             retryAfterMilliseconds: rate.bookReturn(limit, peerDemand, now),
-            message: `Customer "${customer}" is over its ${limit} requests a second and the request has not run. `
+            message:
+                `Customer "${customer}" exceeds its limit of ${limit} requests a second and the request has not run. `
                 + "Send it again after the given time, or raise requestsPerSecond in the configuration.",
         };
     }
 
-    /** Gives back the place of a request that was then refused for another reason. */
+    /** Refunds a counted request that was then refused for another reason. */
     giveBackRequest(customer: string): void {
         this.customers.get(customer)?.rate.giveBack();
     }
 
     /**
-     * Gets the demand at this node for the other nodes; call it for each round of gossip.
-     * @param maximumRecords - Most customers to report: those first that are nearest to their limit, as the others
-     * need no sharing. About 30 bytes each on the wire.
+     * Gets the demand at this node to send to the other nodes in a gossip round.
+     * @param maximumRecords - Maximum number of customers to report, those closest to their limits first, since the limits
+     * of the others need no coordination. About 30 bytes each on the wire.
      */
     getDemand(maximumRecords = defaultMaximumRecords): CustomerDemand[] {
         const now = this.options.clock.getMonotonicTime();
-        if (now - this.reportedAt >= reportMilliseconds) {
+        if (now - this.reportedAt >= reportLifetimeMilliseconds) {
             this.peers.expire(now);
             this.report = this.createReport(now);
             this.reportedAt = now;
@@ -100,45 +101,45 @@
     }
 
     /**
-     * Learns the demand at another node; it replaces what that node reported before.
-     * @param nodeId - The reporting node.
-     * @param records - Its whole report.
+     * Applies the demand report of another node, replacing its previous one.
+     * @param nodeId - Id of the reporting node.
+     * @param records - The complete report.
      */
     applyPeerDemand(nodeId: string, records: readonly CustomerDemand[]): void {
         const demands = records.map(({ customer, requestsPerSecond }) => [customer, requestsPerSecond] as const);
         this.peers.apply(nodeId, demands, this.options.clock.getMonotonicTime());
     }
 
-    /** Forgets the report of a node that has left; that of a silent one is forgotten after 5 s. */
+    /** Removes the report of a node that has left; the report of a silent node expires after 5 s. */
     removePeer(nodeId: string): void {
         this.peers.remove(nodeId);
     }
 
     private createReport(now: number): CustomerDemand[] {
-        const found: { record: CustomerDemand; part: number; }[] = [];
+        const entries: { record: CustomerDemand; usedFraction: number; }[] = [];
         for (const [customer, { limit, rate }] of this.customers) {
             const requestsPerSecond = rate.getDemand(now);
-            if (requestsPerSecond >= minimumReportedDemand) {
-                found.push({ record: { customer, requestsPerSecond }, part: requestsPerSecond / limit });
+            if (requestsPerSecond >= minimumReportedRequestsPerSecond) {
+                entries.push({ record: { customer, requestsPerSecond }, usedFraction: requestsPerSecond / limit });
             }
             else if (this.getLimit(customer) === undefined) {
                 this.customers.delete(customer);
             }
         }
-        return found.sort((a, b) => b.part - a.part).map(({ record }) => record);
+        return entries.sort((a, b) => b.usedFraction - a.usedFraction).map(({ record }) => record);
     }
 
     private getLimitedCustomer(customer: string, limit: number, now: number): LimitedCustomer {
         let limited = this.customers.get(customer);
         if (limited === undefined || limited.limit !== limit) {
-            const memoryMilliseconds = getMemoryMilliseconds(limit);
+            const memoryMilliseconds = getTimeConstantMilliseconds(limit);
             limited = { limit, rate: SharedRate.create({ memoryMilliseconds, random: this.options.random, now }) };
             this.customers.set(customer, limited);
         }
         return limited;
     }
 
-    /** Gets the demand at the other nodes, in requests a second; estimated where only some of them reported. */
+    /** Gets the demand at the other nodes, in requests a second; extrapolated if only some of them have reported. */
     private getPeerDemand(customer: string): number {
         return this.peers.estimateTotal(customer, (this.options.getNodeCount?.() ?? 1) - 1);
     }
@@ -148,10 +149,10 @@
     }
 }
 
-function getMemoryMilliseconds(limit: number): number {
-    const least = Math.max(minimumMemoryMilliseconds, minimumMeasuredRequests * 1000 / limit);
-    const enough = enoughMeasuredRequests * 1000 / limit;
-    return Math.max(least, Math.min(usualMemoryMilliseconds, enough));
+function getTimeConstantMilliseconds(limit: number): number {
+    const minimum = Math.max(minimumTimeConstantMilliseconds, minimumMeasuredRequests * 1000 / limit);
+    const maximum = maximumMeasuredRequests * 1000 / limit;
+    return Math.max(minimum, Math.min(defaultTimeConstantMilliseconds, maximum));
 }
 
 function createUnknownCustomerRefusal(customer: string): Refusal {
@@ -159,6 +160,6 @@
         kind: RefusalKind.RateLimited,
         retryAfterMilliseconds: unknownCustomerRetryMilliseconds,
         message: `Customer "${customer}" is not in the configuration and the request has not run. `
-            + "Add it under customers, or use a key of a customer that is there.",
+            + "Add it under customers, or use the key of a configured customer.",
     };
 }
--- a/src/request/admission/customerQueue.ts
+++ b/src/request/admission/customerQueue.ts
@@ -1,21 +1,21 @@
 import type { QueueEntry } from "./queueEntry.ts";
 
-/** Entries up to which the array keeps those that no longer wait. */
+/** Maximum length of the array up to which removed entries are kept while others wait. */
 const compactionLength = 32;
 
-/** The waiting entries of one customer, first in first out, with its place in virtual time. */
+/** First-in-first-out queue of one customer, with its tags in virtual time. */
 export class CustomerQueue<T> {
-    /** Virtual time at which the customer's next entry starts. It never changes while the customer is listed. */
+    /** Virtual start time of the customer's next entry. It must not change while the queue is in the heap. */
     startTag = 0;
-    /** Virtual time at which the work taken so far ends. */
+    /** Virtual finish time of the customer's dequeued work. */
     finishTag = 0;
     /** Share of the customer under contention, relative to the others. */
     weight: number;
-    /** Order among customers of the same start tag. */
+    /** Tie-breaker between customers with the same start tag. */
     sequence = 0;
-    /** Whether the heap of the fair queue lists the customer. */
+    /** Whether the queue is in the heap of the fair queue. */
     isListed = false;
-    /** Cost of the waiting entries, in tokens. */
+    /** Total cost of the waiting entries, in tokens. */
     waitingCost = 0;
     /** Number of waiting entries. */
     waitingCount = 0;
@@ -37,14 +37,14 @@
         return new CustomerQueue<T>(customer, weight);
     }
 
-    /** Adds an entry behind the waiting ones. */
+    /** Appends an entry. */
     push(entry: QueueEntry<T>): void {
         this.entries.push(entry);
         this.waitingCost += entry.cost;
         this.waitingCount++;
     }
 
-    /** Gets the oldest waiting entry without taking it. */
+    /** Gets the oldest waiting entry without removing it. */
     peek(): QueueEntry<T> | undefined {
         while (this.head < this.entries.length) {
             const entry = this.entries[this.head];
@@ -56,7 +56,7 @@
         return undefined;
     }
 
-    /** Gets the newest waiting entry without taking it. */
+    /** Gets the newest waiting entry without removing it. */
     peekNewest(): QueueEntry<T> | undefined {
         while (this.entries.length > this.head) {
             const entry = this.entries[this.entries.length - 1];
@@ -68,7 +68,7 @@
         return undefined;
     }
 
-    /** Takes an entry out of the count; the array drops it later. */
+    /** Removes a waiting entry; its array element may be dropped later. */
     remove(entry: QueueEntry<T>): void {
         entry.isWaiting = false;
         this.waitingCount--;
--- a/src/request/admission/drainRate.ts
+++ b/src/request/admission/drainRate.ts
@@ -1,9 +1,9 @@
-/** Time after which an observation counts for 1/e, in milliseconds. */
-const memoryMilliseconds = 10_000;
+/** Time after which the weight of an observation has decayed to 1/e. */
+const timeConstantMilliseconds = 10_000;
 
 /**
- * Measures how fast the work at a gate drains: the time that one place spends on a token, from the runs that
- * ended. Unlike a count of what ended a second, it holds while there is little to do.
+ * Estimates the drain rate of a queue from the time per token of the requests that ended. Unlike a count of completions per
+ * second, the estimate stays valid at low load.
  */
 export class DrainRate {
     private elapsedMilliseconds = 0;
@@ -13,36 +13,36 @@
 
     private constructor() {}
 
-    /** Creates a rate that has seen no runs. */
+    /** Creates a rate without observations. */
     static create(): DrainRate {
         return new DrainRate();
     }
 
     /**
-     * Counts a run that ended.
+     * Records a run that ended.
      * @param cost - Expected cost of the run, in tokens.
-     * @param elapsedMilliseconds - Time that it held its place.
+     * @param elapsedMilliseconds - Duration of the run.
      * @param now - Monotonic time in milliseconds.
      */
     observe(cost: number, elapsedMilliseconds: number, now: number): void {
-        const kept = Math.exp((this.updatedAt - now) / memoryMilliseconds);
+        const decay = Math.exp((this.updatedAt - now) / timeConstantMilliseconds);
         this.updatedAt = now;
-        this.cost = this.cost * kept + cost;
-        this.elapsedMilliseconds = this.elapsedMilliseconds * kept + elapsedMilliseconds;
-        this.runs = this.runs * kept + 1;
+        this.cost = this.cost * decay + cost;
+        this.elapsedMilliseconds = this.elapsedMilliseconds * decay + elapsedMilliseconds;
+        this.runs = this.runs * decay + 1;
     }
 
-    /** Gets the tokens a millisecond of a number of places; undefined before the first run has ended. */
-    getRate(places: number): number | undefined {
-        return this.elapsedMilliseconds > 0 ? places * this.cost / this.elapsedMilliseconds : undefined;
+    /** Gets the drain rate at a concurrency, in tokens a millisecond; undefined before the first run has ended. */
+    getRate(concurrency: number): number | undefined {
+        return this.elapsedMilliseconds > 0 ? concurrency * this.cost / this.elapsedMilliseconds : undefined;
     }
 
-    /** Gets the time that a run of a cost holds its place, in milliseconds; 0 before the first run has ended. */
+    /** Gets the expected duration of a run of a cost, in milliseconds; 0 before the first run has ended. */
     getRunMilliseconds(cost: number): number {
         return this.cost > 0 ? cost * this.elapsedMilliseconds / this.cost : 0;
     }
 
-    /** Gets the mean time of a run in milliseconds; undefined before the first run has ended. */
+    /** Gets the mean duration of a run in milliseconds; undefined before the first run has ended. */
     getMeanRunMilliseconds(): number | undefined {
         return this.runs > 0 ? this.elapsedMilliseconds / this.runs : undefined;
     }
--- a/src/request/admission/fairQueue.ts
+++ b/src/request/admission/fairQueue.ts
@@ -2,35 +2,35 @@
 import { CustomerQueue } from "./customerQueue.ts";
 import type { QueueEntry } from "./queueEntry.ts";
 
-/** What is put into a {@link FairQueue}. */
+/** An item to add to a {@link FairQueue}. */
 interface EnqueueOptions<T> {
     item: T;
     customer: string;
     /** Share of the customer under contention, relative to the others. */
     weight: number;
-    /** Expected work, in tokens. */
+    /** Expected cost, in tokens. */
     cost: number;
 }
 
-/** Requests of mean cost that a customer may take ahead of its share before its next one has to wait its turn. */
+/** Burst allowance: requests of mean cost that a customer may start beyond its fair share. */
 const burstRequests = 8;
 
-/** Weight of the newest entry in the mean cost. */
-const meanCostGain = 1 / 64;
+/** Weight of the newest entry in the moving average of the cost. */
+const meanCostSmoothingFactor = 1 / 64;
 
-/** Customers without waiting entries that are remembered before a sweep. */
+/** Minimum number of customers at which idle ones are removed. */
 const minimumSweepSize = 64;
 
 /**
  * Weighted fair queue by customer: start-time fair queueing (Goyal, Vin and Cheng, 1996). Each customer
- * has a first-in-first-out queue; the customer with the lowest start tag goes next, and taking an entry moves
- * its tag on by cost / weight. A customer that comes back from idling starts at the current virtual time: it
- * neither saves up credit nor pays for what it took when nobody waited. The tag belongs to the customer and not to
- * the entry, so that removing an entry costs its customer nothing. Both ends take O(log n) of n waiting customers.
+ * has a first-in-first-out queue; the customer with the lowest start tag goes next, and dequeuing an entry advances
+ * its tag by cost / weight. A customer that was idle starts at the current virtual time: it neither accumulates credit
+ * nor is charged for capacity that it used without contention. Tags belong to customers and not to entries, so a removed
+ * entry costs its customer nothing. Enqueuing and dequeuing take O(log n) for n waiting customers.
  */
 export class FairQueue<T> {
     private readonly customers = new Map<string, CustomerQueue<T>>();
-    private readonly heap = new Heap<CustomerQueue<T>>(compareTags);
+    private readonly heap = new Heap<CustomerQueue<T>>(compareStartTags);
     private virtualTime = 0;
     private nextSequence = 0;
     private sweepSize = minimumSweepSize;
@@ -50,32 +50,32 @@
         return this.totalCount;
     }
 
-    /** Cost of all waiting entries, in tokens. */
+    /** Total cost of the waiting entries, in tokens. */
     get waitingCost(): number {
         return this.totalCost;
     }
 
-    /** Gets the number of entries that wait for one customer. */
+    /** Gets the number of waiting entries of a customer. */
     getCustomerCount(customer: string): number {
         return this.customers.get(customer)?.waitingCount ?? 0;
     }
 
-    /** Adds an entry; the caller has checked the bounds. */
+    /** Adds an entry. Does not limit the length of the queue; the caller has to. */
     enqueue(options: EnqueueOptions<T>): QueueEntry<T> {
         const queue = this.getOrAddCustomer(options.customer, options.weight);
         const entry = { item: options.item, customer: options.customer, cost: options.cost, isWaiting: true };
         queue.push(entry);
         this.totalCount++;
         this.totalCost += entry.cost;
-        this.meanCost += (entry.cost - this.meanCost) * (this.meanCost === 0 ? 1 : meanCostGain);
+        this.meanCost += (entry.cost - this.meanCost) * (this.meanCost === 0 ? 1 : meanCostSmoothingFactor);
         if (!queue.isListed) {
             queue.finishTag = Math.max(queue.finishTag, this.virtualTime);
-            this.list(queue);
+            this.addToHeap(queue);
         }
         return entry;
     }
 
-    /** Takes the entry that goes next; undefined where none waits. */
+    /** Removes and gets the next entry; undefined if the queue is empty. */
     dequeue(): QueueEntry<T> | undefined {
         const queue = this.getNextCustomer();
         const entry = queue?.peek();
@@ -84,11 +84,11 @@
         }
         this.heap.pop();
         queue.isListed = false;
-        this.take(queue, entry);
+        this.takeEntry(queue, entry);
         return entry;
     }
 
-    /** Whether the customer that goes next has already had its share and its burst. */
+    /** Gets whether the next customer has already used its fair share and its burst allowance. */
     isNextOverShare(): boolean {
         const queue = this.getNextCustomer();
         return queue !== undefined && queue.startTag > this.virtualTime;
@@ -103,15 +103,15 @@
         if (!entry.isWaiting || queue === undefined) {
             return false;
         }
-        this.forget(queue, entry);
+        this.removeEntry(queue, entry);
         return true;
     }
 
     /**
-     * Settles an entry whose real cost was another than the expected one.
-     * @param customer - Customer whose entry it was.
+     * Charges a customer for the difference between the actual and the expected cost of an entry.
+     * @param customer - Name of the customer.
      * @param weight - Weight of the customer.
-     * @param difference - Real cost less expected cost, in tokens.
+     * @param difference - Actual minus expected cost, in tokens; may be negative.
      */
     charge(customer: string, weight: number, difference: number): void {
         const queue = this.getOrAddCustomer(customer, weight);
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Estimates whether more than a given cost, in tokens, goes before a new entry of a customer.
-     * Takes time in proportion to the number of waiting customers at the most.
+     * Estimates whether entries of more than a given cost, in tokens, would go before a new entry of a customer.
+     * Takes O(n) for n waiting customers.
      */
     isCostAheadOver(customer: string, maximumCost: number): boolean {
         const own = this.customers.get(customer);
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Finds the newest entry of the customer that holds most of the queue for its weight, where that customer holds
-     * more than another would with a new entry. Takes time in proportion to the number of waiting customers.
+     * Gets the newest entry of the customer with the highest waiting cost relative to its weight, if that is higher than the
+     * given customer's would be with a new entry. Takes O(n) for n waiting customers.
      */
     getEntryToEvict(options: { customer: string; weight: number; cost: number; }): QueueEntry<T> | undefined {
         const own = this.customers.get(options.customer);
@@ -155,7 +155,7 @@
         return largest?.peekNewest();
     }
 
-    /** Gets the customer that goes next, and drops those before it whose entries were all removed. */
+    /** Gets the next customer, after dropping customers without waiting entries from the top of the heap. */
     private getNextCustomer(): CustomerQueue<T> | undefined {
         for (let queue = this.heap.peek(); queue !== undefined; queue = this.heap.peek()) {
             if (queue.waitingCount > 0) {
@@ -171,7 +171,7 @@
         return Math.max(this.virtualTime, finishTag - burstRequests * this.meanCost / weight);
     }
 
-    /** Gets the start tag that a new entry would get behind the customer's waiting ones. */
+    /** Gets the start tag that a new entry of the customer would have after its waiting entries. */
     private getNextStartTag(queue: CustomerQueue<T> | undefined): number {
         if (queue === undefined) {
             return this.virtualTime;
@@ -180,24 +180,24 @@
         return this.getStartTag(finishTag, queue.weight);
     }
 
-    private take(queue: CustomerQueue<T>, entry: QueueEntry<T>): void {
+    private takeEntry(queue: CustomerQueue<T>, entry: QueueEntry<T>): void {
         this.virtualTime = queue.startTag;
-        // The finish tag also holds what was charged while the customer waited.
+        // Not computed from the start tag, since the finish tag includes charges made while the customer waited.
         queue.finishTag += entry.cost / queue.weight;
-        this.forget(queue, entry);
+        this.removeEntry(queue, entry);
         if (queue.waitingCount > 0) {
-            this.list(queue);
+            this.addToHeap(queue);
         }
     }
 
-    private list(queue: CustomerQueue<T>): void {
+    private addToHeap(queue: CustomerQueue<T>): void {
         queue.startTag = this.getStartTag(queue.finishTag, queue.weight);
         queue.sequence = this.nextSequence++;
         queue.isListed = true;
         this.heap.push(queue);
     }
 
-    private forget(queue: CustomerQueue<T>, entry: QueueEntry<T>): void {
+    private removeEntry(queue: CustomerQueue<T>, entry: QueueEntry<T>): void {
         queue.remove(entry);
         this.totalCount--;
         this.totalCost = this.totalCount === 0 ? 0 : this.totalCost - entry.cost;
@@ -206,7 +206,7 @@
     private getOrAddCustomer(customer: string, weight: number): CustomerQueue<T> {
         let queue = this.customers.get(customer);
         if (queue === undefined) {
-            this.sweep();
+            this.removeIdleCustomers();
             queue = CustomerQueue.create<T>(customer, weight);
             this.customers.set(customer, queue);
         }
@@ -214,8 +214,8 @@
         return queue;
     }
 
-    /** Forgets customers whose tags no longer matter, now and then. */
-    private sweep(): void {
+    /** Removes customers whose tags no longer matter, once the number of customers has doubled. */
+    private removeIdleCustomers(): void {
         if (this.customers.size < this.sweepSize) {
             return;
         }
@@ -228,6 +228,6 @@
     }
 }
 
-function compareTags<T>(a: CustomerQueue<T>, b: CustomerQueue<T>): number {
+function compareStartTags<T>(a: CustomerQueue<T>, b: CustomerQueue<T>): number {
     return a.startTag - b.startTag || a.sequence - b.sequence;
 }
--- a/src/request/admission/peerDemands.ts
+++ b/src/request/admission/peerDemands.ts
@@ -1,50 +1,50 @@
-/** Time after which a silent peer's demand no longer counts, in milliseconds. */
+/** Time to live of a report. */
 const expiryMilliseconds = 5_000;
 
-/** What one peer reported last. */
+/** The latest report of a peer. */
 interface PeerReport {
     /** Monotonic time in milliseconds. */
     receivedAt: number;
-    /** Requests a second, by what they are for. */
+    /** Requests a second by key. */
     demands: Map<string, number>;
 }
 
-/** The demand that the other nodes report, by what it is for, such as a customer. */
+/** The demand that the other nodes have reported, by a key such as a customer. */
 export class PeerDemands {
     private readonly reports = new Map<string, PeerReport>();
     private readonly totals = new Map<string, number>();
 
     private constructor() {}
 
-    /** Creates demands without any report. */
+    /** Creates an instance without reports. */
     static create(): PeerDemands {
         return new PeerDemands();
     }
 
-    /** Peers whose reports count. */
+    /** Number of peers with a report that has not expired. */
     get peerCount(): number {
         return this.reports.size;
     }
 
-    /** Gets the requests a second at all peers together that have reported. */
+    /** Gets the total requests a second at the peers that have reported. */
     getTotal(key: string): number {
         return this.totals.get(key) ?? 0;
     }
 
     /**
-     * Estimates the requests a second at all other nodes: those that have not reported have as much each as those that have.
-     * @param key - What they are for.
-     * @param others - Number of the other nodes that live.
+     * Estimates the total requests a second at all other nodes, assuming the mean of the reporting ones for the rest.
+     * @param key - Key of the demand.
+     * @param otherNodeCount - Number of other live nodes.
      */
-    estimateTotal(key: string, others: number): number {
-        const scale = this.peerCount > 0 && others > this.peerCount ? others / this.peerCount : 1;
+    estimateTotal(key: string, otherNodeCount: number): number {
+        const scale = this.peerCount > 0 && otherNodeCount > this.peerCount ? otherNodeCount / this.peerCount : 1;
         return this.getTotal(key) * scale;
     }
 
     /**
      * Replaces a peer's report.
-     * @param nodeId - The peer.
-     * @param records - Its whole report: what the requests are for, and how many there are a second.
+     * @param nodeId - Id of the peer.
+     * @param records - The complete report: keys and requests a second.
      * @param now - Monotonic time in milliseconds.
      */
     apply(nodeId: string, records: Iterable<readonly [string, number]>, now: number): void {
@@ -60,7 +60,7 @@
         this.reports.set(nodeId, { receivedAt: now, demands });
     }
 
-    /** Forgets a peer. */
+    /** Removes a peer's report. */
     remove(nodeId: string): void {
         for (const [key, requestsPerSecond] of this.reports.get(nodeId)?.demands ?? []) {
             this.subtract(key, requestsPerSecond);
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Forgets the peers that have been silent for 5 s.
+     * Removes the reports of peers that have been silent for more than 5 s.
      * @param now - Monotonic time in milliseconds.
      */
     expire(now: number): void {
@@ -81,10 +81,10 @@
     }
 
     private subtract(key: string, requestsPerSecond: number): void {
-        const left = this.getTotal(key) - requestsPerSecond;
-        // What rounding leaves over counts as nothing.
-        if (left > 1e-9) {
-            this.totals.set(key, left);
+        const remaining = this.getTotal(key) - requestsPerSecond;
+        // A smaller remainder is a rounding error.
+        if (remaining > 1e-9) {
+            this.totals.set(key, remaining);
         }
         else {
             this.totals.delete(key);
--- a/src/request/admission/queueEntry.ts
+++ b/src/request/admission/queueEntry.ts
@@ -1,9 +1,9 @@
-/** One waiting item of a `FairQueue`. */
+/** An entry of a `FairQueue`. */
 export interface QueueEntry<T> {
     readonly item: T;
     readonly customer: string;
-    /** Expected work, in tokens. */
+    /** Expected cost, in tokens. */
     readonly cost: number;
-    /** False once the entry was taken or removed. */
+    /** False once the entry has been dequeued or removed. */
     isWaiting: boolean;
 }
--- a/src/request/admission/refusal.ts
+++ b/src/request/admission/refusal.ts
@@ -1,10 +1,10 @@
 import type { RefusalKind } from "./refusalKind.ts";
 
-/** A request that was not admitted: it has not run and will not run. */
+/** The refusal of a request, which has not run and will not run. */
 export interface Refusal {
     kind: RefusalKind;
-    /** When the caller should come back, in milliseconds from now; spread at random between callers. */
+    /** Time after which the caller should retry; with jitter. */
     retryAfterMilliseconds: number;
-    /** What is the matter and what to do about it. */
+    /** The problem and what the caller can do about it. */
     message: string;
 }
--- a/src/request/admission/refusalKind.ts
+++ b/src/request/admission/refusalKind.ts
@@ -1,14 +1,14 @@
-/** Why a request was refused. In every case no byte of it has reached an endpoint. */
+/** Why a request was refused. For every kind, no byte of the request has reached an endpoint. */
 export const RefusalKind = {
-    /** As many requests wait as the limits allow, or a customer further under its share took the place. */
+    /** The queue or the customer's part of it is full, or the request was evicted for a customer with less in the queue. */
     QueueFull: "queueFull",
-    /** The request could not start, or could not end, within its time. */
+    /** The request could not start within the maximum wait or end before its deadline. */
     WaitTooLong: "waitTooLong",
-    /** The customer is over its requests a second, or is not in the configuration. */
+    /** The customer exceeds its rate limit or is not in the configuration. */
     RateLimited: "rateLimited",
     /** The node is shutting down. */
     Draining: "draining",
-    /** The caller went away. */
+    /** The caller disconnected. */
     Cancelled: "cancelled",
 } as const;
 
--- a/src/request/admission/retryBudget.ts
+++ b/src/request/admission/retryBudget.ts
@@ -1,11 +1,11 @@
 import type { RetryPolicy } from "./retryPolicy.ts";
 
 const defaultPolicy: RetryPolicy = { ratio: 0.1, perSecond: 1, maximumBalance: 50 };
-const startPart = 0.2;
+const initialBalanceFraction = 0.2;
 
 /**
- * The node's budget of retries. When most calls fail, retrying them all would multiply the load just when the
- * endpoints can bear it least; by default the budget holds the retries at a tenth of the requests plus one a second.
+ * The node's retry budget. When most calls fail, retrying all of them would multiply the load on endpoints that are
+ * already overloaded. By default, the budget limits retries to a tenth of the requests plus one a second.
  */
 export class RetryBudget {
     private readonly getPolicy: () => RetryPolicy;
@@ -14,27 +14,27 @@
 
     private constructor(now: number, getPolicy: () => RetryPolicy) {
         this.getPolicy = getPolicy;
-        this.balance = getPolicy().maximumBalance * startPart;
+        this.balance = getPolicy().maximumBalance * initialBalanceFraction;
         this.updatedAt = now;
     }
 
     /**
-     * Creates a budget with a part of what can be saved up.
+     * Creates a budget that holds a fraction of its maximum balance.
      * @param now - Monotonic time in milliseconds.
-     * @param getPolicy - Gets how many retries are allowed now.
+     * @param getPolicy - Gets the current policy.
      */
     static create(now: number, getPolicy: () => RetryPolicy = () => defaultPolicy): RetryBudget {
         return new RetryBudget(now, getPolicy);
     }
 
-    /** Counts a request, not a retry. */
+    /** Credits the budget for a request; don't call it for retries. */
     observeRequest(): void {
         const policy = this.getPolicy();
         this.add(policy.ratio, policy);
     }
 
     /**
-     * Takes one retry out of the budget.
+     * Takes one retry from the budget.
      * @param now - Monotonic time in milliseconds.
      * @returns Whether the retry may be sent.
      */
--- a/src/request/admission/retryPolicy.ts
+++ b/src/request/admission/retryPolicy.ts
@@ -1,9 +1,9 @@
-/** How many retries a node may send. */
+/** Limits of the retries that a node may send. */
 export interface RetryPolicy {
     /** Retries allowed for each request. */
     ratio: number;
-    /** Retries a second that are allowed besides, so that a node with few requests can retry at all. */
+    /** Additional retries allowed per second, so that a node with few requests can retry at all. */
     perSecond: number;
-    /** Most retries that are saved up. */
+    /** Maximum number of unused retries that accumulate. */
     maximumBalance: number;
 }
--- a/src/request/admission/returnSchedule.ts
+++ b/src/request/admission/returnSchedule.ts
@@ -1,32 +1,32 @@
 import type { RandomSource } from "../../process/randomSource.ts";
 
-/** Longest time over which refused callers are spread, in milliseconds. */
-const maximumHorizonMilliseconds = 30_000;
+/** Maximum time over which retries are spread. */
+const maximumSpreadMilliseconds = 30_000;
 
-/** Spread where the drain rate is not known yet, in milliseconds. */
-const defaultHorizonMilliseconds = 1_000;
+/** Time over which retries are spread while the drain rate is unknown. */
+const defaultSpreadMilliseconds = 1_000;
 
-/** Shortest time until a return, in milliseconds. */
-const minimumReturnMilliseconds = 100;
+/** Minimum retry delay. */
+const minimumRetryMilliseconds = 100;
 
-/** What a return is booked for. */
-interface ReturnOptions {
-    /** Work of the refused request, in tokens; 1 where requests are counted. */
+/** A refused request whose retry is scheduled. */
+interface RetryOptions {
+    /** Cost of the refused request, in tokens; 1 if the limit counts requests. */
     cost: number;
-    /** Cost that drains in a millisecond; undefined where not known. */
+    /** Drain rate, in cost a millisecond; undefined if unknown. */
     rate: number | undefined;
-    /** Time that is added to the return, in milliseconds. */
+    /** Time to add to the retry delay. */
     excessMilliseconds: number;
     /** Monotonic time in milliseconds. */
     now: number;
 }
 
 /**
- * Tells refused callers when to come back: each one books its work behind the ones refused before it, so that they
- * return at about the rate at which the queue drains, and at random around that time.
+ * Calculates the retry delays of refused requests. Each retry is scheduled after the ones scheduled before it, so that
+ * retries arrive at about the drain rate of the queue, with jitter.
  */
 export class ReturnSchedule {
-    private bookedCost = 0;
+    private scheduledCost = 0;
     private updatedAt = 0;
     private readonly random: RandomSource;
 
@@ -35,28 +35,27 @@
     }
 
     /**
-     * Creates a schedule without bookings.
-     * @param random - Source of the spread of the returns.
+     * Creates an empty schedule.
+     * @param random - Source of the jitter.
      */
     static create(random: RandomSource): ReturnSchedule {
         return new ReturnSchedule(random);
     }
 
     /**
-     * Books a return.
-     * @param options - The refused work, and how fast the queue drains.
-     * @returns Time until the return, in milliseconds.
+     * Schedules a retry.
+     * @returns The retry delay in milliseconds.
      */
-    book(options: ReturnOptions): number {
+    book(options: RetryOptions): number {
         const jitter = 0.75 + 0.5 * this.random();
         const { cost, rate, excessMilliseconds, now } = options;
         if (rate === undefined || rate <= 0) {
-            return minimumReturnMilliseconds + excessMilliseconds + jitter * defaultHorizonMilliseconds;
+            return minimumRetryMilliseconds + excessMilliseconds + jitter * defaultSpreadMilliseconds;
         }
-        const drained = (now - this.updatedAt) * rate;
+        const drainedCost = (now - this.updatedAt) * rate;
         this.updatedAt = now;
-        const maximumCost = maximumHorizonMilliseconds * rate;
-        this.bookedCost = Math.min(maximumCost, Math.max(0, this.bookedCost - drained) + cost);
-        return minimumReturnMilliseconds + excessMilliseconds + jitter * this.bookedCost / rate;
+        const maximumCost = maximumSpreadMilliseconds * rate;
+        this.scheduledCost = Math.min(maximumCost, Math.max(0, this.scheduledCost - drainedCost) + cost);
+        return minimumRetryMilliseconds + excessMilliseconds + jitter * this.scheduledCost / rate;
     }
 }
--- a/src/request/admission/serviceGate.ts
+++ b/src/request/admission/serviceGate.ts
@@ -7,73 +7,74 @@
 import { RefusalKind } from "./refusalKind.ts";
 import { ReturnSchedule } from "./returnSchedule.ts";
 
-/** Part of the allowed wait up to which a request is queued: estimates err, and a late refusal helps nobody. */
-const queuedPart = 0.8;
+/** Fraction of the allowed wait up to which a request is queued: estimates are inexact, and a late refusal is of no use. */
+const maximumQueuedWaitFraction = 0.8;
 
-/** Part of the allowed wait to which the queue has drained when a refused caller comes back. */
-const returnPart = 0.5;
+/** Retry delays are chosen so that the queue will have drained to this fraction of the maximum wait. */
+const retryWaitFraction = 0.5;
 
-/** Part of the places that is kept for customers under their share while there are any. */
-const reservedPart = 0.03;
+/** Fraction of the slots that is reserved for customers below their fair share while there are any. */
+const reservedSlotFraction = 0.03;
 
-/** Time after the last request of a customer under its share for which places are kept, in milliseconds. */
-const reservedMilliseconds = 1_000;
+/** Time for which slots stay reserved after a customer below its fair share was next in the queue. */
+const reservationMilliseconds = 1_000;
 
-/** A run that ended. */
+/** An execution of a request that has ended. */
 interface EndedRun {
     customer: string;
     weight: number;
     /** Expected cost, in tokens. */
     cost: number;
-    /** Tokens that it took; 0 where it did not run. */
+    /** Tokens that it consumed; 0 if it did not run. */
     tokens: number;
-    /** Time that it held its place. */
+    /** Time for which it held its slot. */
     elapsedMilliseconds: number;
 }
 
 /**
- * The admission of the services that share endpoints: what runs, what waits, and how fast it drains. Does no I/O and
+ * Admission control for the services that share endpoints: concurrency limit, fair queue and drain rate. Does no I/O and
  * sets no timers.
  */
 export class ServiceGate<T> {
     readonly queue = FairQueue.create<T>();
-    private readonly returns: ReturnSchedule;
-    private readonly getGivenLimit: () => number;
+    private readonly retrySchedule: ReturnSchedule;
+    private readonly getUpperLimit: () => number;
     private readonly adaptiveLimit = AdaptiveLimit.create();
     private readonly drainRate = DrainRate.create();
     private runningCount = 0;
-    private underShareAt = Number.NEGATIVE_INFINITY;
+    private lastUnderShareAt = Number.NEGATIVE_INFINITY;
 
-    private constructor(getGivenLimit: () => number, random: RandomSource) {
-        this.getGivenLimit = getGivenLimit;
-        this.returns = ReturnSchedule.create(random);
+    private constructor(getUpperLimit: () => number, random: RandomSource) {
+        this.getUpperLimit = getUpperLimit;
+        this.retrySchedule = ReturnSchedule.create(random);
     }
 
     /**
-     * @param getGivenLimit - Gets the requests that may run at the same time, before what is learned.
-     * @param random - Source of the spread of returns.
+     * Creates a gate without running or waiting requests.
+     * @param getUpperLimit - Gets the concurrency limit that the adaptive limit may only lower.
+     * @param random - Source of the jitter of the retry delays.
      */
-    static create<T>(getGivenLimit: () => number, random: RandomSource): ServiceGate<T> {
-        return new ServiceGate<T>(getGivenLimit, random);
+    static create<T>(getUpperLimit: () => number, random: RandomSource): ServiceGate<T> {
+        return new ServiceGate<T>(getUpperLimit, random);
     }
 
-    /** Requests in progress. */
+    /** Number of requests in flight. */
     get running(): number {
         return this.runningCount;
     }
 
-    /** Gets the requests that may run at the same time now. */
+    /** Gets the current concurrency limit, in requests. */
     getLimit(): number {
-        return this.adaptiveLimit.getLimit(this.getGivenLimit());
+        return this.adaptiveLimit.getLimit(this.getUpperLimit());
     }
 
-    /** Whether nothing waits and a place is free. */
+    /** Gets whether the queue is empty and a slot is free. */
     isOpen(): boolean {
         return this.queue.waitingCount === 0 && this.runningCount < this.getLimit();
     }
 
     /**
-     * Takes the waiting item that goes next, where there is a place for it.
+     * Dequeues the next waiting item if there is a free slot for it.
      * @param now - Monotonic time in milliseconds.
      */
     takeNext(now: number): T | undefined {
@@ -82,20 +83,20 @@
         }
         const isOverShare = this.queue.isNextOverShare();
         if (!isOverShare) {
-            this.underShareAt = now;
+            this.lastUnderShareAt = now;
         }
         const limit = this.getLimit();
-        const isReserving = isOverShare && now - this.underShareAt < reservedMilliseconds;
-        const usable = isReserving ? limit - Math.round(limit * reservedPart) : limit;
-        return this.runningCount < usable ? this.queue.dequeue()?.item : undefined;
+        const isReserving = isOverShare && now - this.lastUnderShareAt < reservationMilliseconds;
+        const usableSlots = isReserving ? limit - Math.round(limit * reservedSlotFraction) : limit;
+        return this.runningCount < usableSlots ? this.queue.dequeue()?.item : undefined;
     }
 
     /**
-     * Gets the longest wait after which a request can still end in time.
-     * @param request - Request that arrives now.
-     * @param maximum - Longest wait of any request, in milliseconds.
+     * Gets the maximum wait after which a request can still end before its deadline.
+     * @param request - The arriving request.
+     * @param maximum - Maximum wait of any request, in milliseconds.
      * @param now - Monotonic time in milliseconds.
-     * @returns Milliseconds; negative where even a start at once would be too late.
+     * @returns Milliseconds; negative if even an immediate start would be too late.
      */
     getAllowedWait(request: AdmissionRequest, maximum: number, now: number): number {
         if (request.deadline === undefined) {
@@ -105,64 +106,66 @@
     }
 
     /**
-     * Gets the refusal of a request that would not end in time; undefined where it may wait or start.
-     * @param request - Request that arrives now.
-     * @param maximum - Longest wait of any request, in milliseconds.
+     * Gets the refusal of a request that would miss its deadline or wait too long; undefined if it may wait or start.
+     * @param request - The arriving request.
+     * @param maximum - Maximum wait of any request, in milliseconds.
      * @param now - Monotonic time in milliseconds.
      */
     getWaitRefusal(request: AdmissionRequest, maximum: number, now: number): Refusal | undefined {
         if (this.isOpen()) {
-            // A run is tried even where it looks too long: only runs can show that the estimate is out of date.
+            // Starts the request even if the estimated run exceeds the deadline: only runs can correct an outdated estimate.
             const isLate = request.deadline !== undefined && request.deadline <= now;
             return isLate ? this.createWaitRefusal(request, maximum, now) : undefined;
         }
-        const allowed = this.getAllowedWait(request, maximum, now) * queuedPart;
-        return this.isWaitOver(request.customer, allowed) ? this.createWaitRefusal(request, maximum, now) : undefined;
+        const allowed = this.getAllowedWait(request, maximum, now) * maximumQueuedWaitFraction;
+        return this.exceedsAllowedWait(request.customer, allowed)
+            ? this.createWaitRefusal(request, maximum, now)
+            : undefined;
     }
 
     /**
-     * Creates the refusal of a request that would not start, or end, in time.
+     * Creates the refusal of a request that would not start or end in time.
      * @param request - The refused request.
-     * @param maximum - Longest wait of any request, in milliseconds.
+     * @param maximum - Maximum wait of any request, in milliseconds.
      * @param now - Monotonic time in milliseconds.
      */
     createWaitRefusal(request: AdmissionRequest, maximum: number, now: number): Refusal {
         return {
             kind: RefusalKind.WaitTooLong,
-            retryAfterMilliseconds: this.bookReturn(request, maximum, now),
+            retryAfterMilliseconds: this.scheduleRetry(request, maximum, now),
             message: "The request would not end in time and has not run. "
                 + "Send it again after the given time, or allow it more time.",
         };
     }
 
     /**
-     * Creates the refusal of a request for which the queue has no place.
+     * Creates the refusal of a request for which the queue is full.
      * @param request - The refused request.
-     * @param maximum - Longest wait of any request, in milliseconds.
+     * @param maximum - Maximum wait of any request, in milliseconds.
      * @param now - Monotonic time in milliseconds.
      */
     createQueueRefusal(request: AdmissionRequest, maximum: number, now: number): Refusal {
         return {
             kind: RefusalKind.QueueFull,
-            retryAfterMilliseconds: this.bookReturn(request, maximum, now),
+            retryAfterMilliseconds: this.scheduleRetry(request, maximum, now),
             message: "The queue is full and the request has not run. "
                 + "Send it again after the given time, or raise limits.maximumQueuedRequests in the configuration.",
         };
     }
 
-    /** Counts a run that starts; each is ended by one call of {@link ServiceGate.finish}. */
+    /** Counts a started request; call {@link ServiceGate.finish} exactly once for each. */
     start(): void {
         this.runningCount++;
     }
 
     /**
-     * Gives the place of a run back, settles its customer's account and learns from it.
-     * @param run - The run that ended.
+     * Releases the slot of a request, charges its customer for the difference from the expected cost and updates the estimates.
+     * @param run - The ended execution.
      * @param now - Monotonic time in milliseconds.
      */
     finish(run: EndedRun, now: number): void {
         if (run.tokens > 0) {
-            this.adaptiveLimit.observeSuccess(this.runningCount, this.getGivenLimit());
+            this.adaptiveLimit.observeSuccess(this.runningCount, this.getUpperLimit());
             this.drainRate.observe(run.cost, run.elapsedMilliseconds, now);
         }
         this.runningCount--;
@@ -170,17 +173,17 @@
     }
 
     /**
-     * Learns that an engine had no memory for a request that was admitted.
+     * Lowers the adaptive limit after an engine refused an admitted request for lack of memory.
      * @param now - Monotonic time in milliseconds.
      */
     observeRefusal(now: number): void {
-        const round = this.drainRate.getMeanRunMilliseconds() ?? 0;
-        this.adaptiveLimit.observeRefusal(this.runningCount, round, now);
+        const meanRunMilliseconds = this.drainRate.getMeanRunMilliseconds() ?? 0;
+        this.adaptiveLimit.observeRefusal(this.runningCount, meanRunMilliseconds, now);
     }
 
-    /** Whether a customer's new request would wait longer than is allowed, in milliseconds. */
-    private isWaitOver(customer: string, allowed: number): boolean {
-        const rate = this.getRate();
+    /** Gets whether a new request of a customer would wait longer than allowed; the time is in milliseconds. */
+    private exceedsAllowedWait(customer: string, allowed: number): boolean {
+        const rate = this.getDrainRate();
         if (allowed < 0 || rate === undefined || rate <= 0) {
             return allowed < 0;
         }
@@ -188,14 +191,14 @@
         return this.queue.waitingCost > allowedCost && this.queue.isCostAheadOver(customer, allowedCost);
     }
 
-    private bookReturn(request: AdmissionRequest, maximum: number, now: number): number {
-        const rate = this.getRate();
-        const excessMilliseconds = rate ? Math.max(0, this.queue.waitingCost / rate - maximum * returnPart) : 0;
-        return this.returns.book({ cost: request.cost, rate, excessMilliseconds, now });
+    private scheduleRetry(request: AdmissionRequest, maximum: number, now: number): number {
+        const rate = this.getDrainRate();
+        const excessMilliseconds = rate ? Math.max(0, this.queue.waitingCost / rate - maximum * retryWaitFraction) : 0;
+        return this.retrySchedule.book({ cost: request.cost, rate, excessMilliseconds, now });
     }
 
-    /** Gets the cost that drains in a millisecond; undefined before the first run has ended. */
-    private getRate(): number | undefined {
+    /** Gets the drain rate of the queue, in tokens a millisecond; undefined before the first run has ended. */
+    private getDrainRate(): number | undefined {
         return this.drainRate.getRate(this.getLimit());
     }
 }
--- a/src/request/admission/sharedRate.ts
+++ b/src/request/admission/sharedRate.ts
@@ -4,38 +4,39 @@
 
 /** Options of a {@link SharedRate}. */
 interface SharedRateOptions {
-    /** Time over which the demand is measured, in milliseconds. */
+    /** Time constant of the moving average of the demand. */
     memoryMilliseconds: number;
-    /** Source of the first credit and of the spread of returns. */
+    /** Source of the initial credit and of the jitter of the retry delays. */
     random: RandomSource;
     /** Monotonic time in milliseconds. */
     now: number;
 }
 
 /**
- * One node's part of a rate that all nodes share by demand, such as a customer's requests a second. Every arrival earns the part
- * of a request that the limit leaves of the whole demand, and passes once a whole one is there. So a node's share follows its demand
- * at once, and nodes that see one request in many seconds still pass the right number together, which a token bucket a node does not.
+ * One node's share of a rate limit over all nodes, such as a customer's requests a second. Every arrival adds a credit of
+ * limit / total demand, at most 1, and is admitted if the credit is at least 1. So a node's share follows its demand
+ * immediately, and nodes that get one request in many seconds still admit the right number in total, unlike with a token
+ * bucket per node.
  */
 export class SharedRate {
     private readonly arrivals: SmoothedRate;
-    private readonly returns: ReturnSchedule;
-    /** Part of a request that is earned; starts at random so that the nodes do not pass their first ones together. */
+    private readonly retrySchedule: ReturnSchedule;
+    /** Credit in requests; starts at a random value so that the nodes don't all admit their first requests at the same time. */
     private credit: number;
 
     private constructor({ memoryMilliseconds, random, now }: SharedRateOptions) {
         this.arrivals = SmoothedRate.create(memoryMilliseconds, now);
-        this.returns = ReturnSchedule.create(random);
+        this.retrySchedule = ReturnSchedule.create(random);
         this.credit = random();
     }
 
-    /** Creates a rate without arrivals. */
+    /** Creates an instance without arrivals. */
     static create(options: SharedRateOptions): SharedRate {
         return new SharedRate(options);
     }
 
     /**
-     * Gets the arrivals at this node, in requests a second.
+     * Gets the rate of arrivals at this node, in requests a second.
      * @param now - Monotonic time in milliseconds.
      */
     getDemand(now: number): number {
@@ -45,12 +46,12 @@
     /**
      * Counts an arrival.
      * @param limit - Limit over all nodes, in requests a second.
-     * @param peerDemand - Arrivals at the other nodes, in requests a second.
+     * @param peerDemand - Rate of arrivals at the other nodes, in requests a second.
      * @param now - Monotonic time in milliseconds.
-     * @returns Whether it passes.
+     * @returns Whether it is admitted.
      */
     take(limit: number, peerDemand: number, now: number): boolean {
-        this.credit += this.getPassedPart(limit, peerDemand, now);
+        this.credit += this.getAdmittedFraction(limit, peerDemand, now);
         this.arrivals.observe(now);
         if (this.credit < 1) {
             return false;
@@ -59,23 +60,23 @@
         return true;
     }
 
-    /** Gives back the place of a request that passed and was then refused for another reason. */
+    /** Refunds the credit of a request that was admitted and then refused for another reason. */
     giveBack(): void {
         this.credit = Math.min(1, this.credit + 1);
     }
 
     /**
-     * Gets when a refused caller should come back, in milliseconds from now.
+     * Schedules the retry of a refused request and gets its delay in milliseconds.
      * @param limit - Limit over all nodes, in requests a second.
-     * @param peerDemand - Arrivals at the other nodes, in requests a second.
+     * @param peerDemand - Rate of arrivals at the other nodes, in requests a second.
      * @param now - Monotonic time in milliseconds.
      */
     bookReturn(limit: number, peerDemand: number, now: number): number {
-        const passedPerSecond = this.getDemand(now) * this.getPassedPart(limit, peerDemand, now);
-        return this.returns.book({ cost: 1, rate: passedPerSecond / 1000, excessMilliseconds: 0, now });
+        const admittedPerSecond = this.getDemand(now) * this.getAdmittedFraction(limit, peerDemand, now);
+        return this.retrySchedule.book({ cost: 1, rate: admittedPerSecond / 1000, excessMilliseconds: 0, now });
     }
 
-    private getPassedPart(limit: number, peerDemand: number, now: number): number {
+    private getAdmittedFraction(limit: number, peerDemand: number, now: number): number {
         const demand = this.getDemand(now) + peerDemand;
         return demand > limit ? limit / demand : 1;
     }
--- a/src/request/admission/smoothedRate.ts
+++ b/src/request/admission/smoothedRate.ts
@@ -1,37 +1,38 @@
-/** Rate of events, exponentially smoothed; every event counts for exactly one over all time. */
+/** Exponential moving average of the rate of events; each event contributes exactly 1 to the integral of the rate. */
 export class SmoothedRate {
-    private readonly memoryMilliseconds: number;
+    private readonly timeConstantMilliseconds: number;
     private perSecond = 0;
     private updatedAt: number;
 
     private constructor(memoryMilliseconds: number, now: number) {
-        this.memoryMilliseconds = memoryMilliseconds;
+        this.timeConstantMilliseconds = memoryMilliseconds;
         this.updatedAt = now;
     }
 
     /**
-     * @param memoryMilliseconds - Time after which an event counts for 1/e.
+     * Creates a rate of 0.
+     * @param timeConstantMilliseconds - Time after which the contribution of an event has decayed to 1/e.
      * @param now - Monotonic time in milliseconds.
      */
-    static create(memoryMilliseconds: number, now: number): SmoothedRate {
-        return new SmoothedRate(memoryMilliseconds, now);
+    static create(timeConstantMilliseconds: number, now: number): SmoothedRate {
+        return new SmoothedRate(timeConstantMilliseconds, now);
     }
 
     /**
      * Counts an event.
      * @param now - Monotonic time in milliseconds.
-     * @param amount - What it counts for.
+     * @param amount - Number of events that it counts for.
      */
     observe(now: number, amount = 1): void {
-        this.perSecond = this.getPerSecond(now) + amount * 1000 / this.memoryMilliseconds;
+        this.perSecond = this.getPerSecond(now) + amount * 1000 / this.timeConstantMilliseconds;
         this.updatedAt = now;
     }
 
     /**
-     * Gets the events a second.
+     * Gets the current rate, in events a second.
      * @param now - Monotonic time in milliseconds.
      */
     getPerSecond(now: number): number {
-        return this.perSecond * Math.exp((this.updatedAt - now) / this.memoryMilliseconds);
+        return this.perSecond * Math.exp((this.updatedAt - now) / this.timeConstantMilliseconds);
     }
 }
--- a/src/request/admission/start/startDecision.ts
+++ b/src/request/admission/start/startDecision.ts
@@ -1,4 +1,4 @@
-/** What becomes of a request that asks to be started. */
+/** The decision on a request that asks to be started. */
 export type StartDecision<Place> =
     | { kind: "start"; place: Place; }
     | { kind: "wait"; expectedMilliseconds: number; }
--- a/src/request/admission/start/startRequest.ts
+++ b/src/request/admission/start/startRequest.ts
@@ -1,23 +1,23 @@
 /** A request that asks to be started. */
 export interface StartRequest<Place> {
-    /** Rank; 0 goes first. */
+    /** Rank; lower ranks go first. */
     rank: number;
     customer: string | undefined;
-    /** What it is expected to take: tokens of its prompt and its answer. */
+    /** Expected cost: tokens of the prompt and of the answer. */
     cost: number;
-    /** Monotonic time in milliseconds until which it can be started and still keep its objective. */
+    /** Latest start that still meets the latency objective, as a monotonic time in milliseconds. */
     timelyUntil: number;
-    /** Monotonic time in milliseconds until which it may wait at all. */
+    /** Latest start, on time or late, as a monotonic time in milliseconds. */
     waitsUntil: number;
-    /** Longest time after which its caller comes back, in milliseconds. */
+    /** Maximum retry delay that its caller follows, in milliseconds. */
     longestReturnMilliseconds: number;
-    /** Finds and takes what it needs to run; undefined where there is no room. */
+    /** Finds and reserves the capacity that it needs to run; undefined if there is not enough. */
     takePlace(): Place | undefined;
-    /** Whether there would be a place for it if nothing else ran. */
+    /** Gets whether the endpoints could serve it if nothing else were running. */
     isServable(): boolean;
     /**
-     * Gets when its caller should come back, in milliseconds from now, where only limits that endpoints name hold it up: to wait for
-     * a place brings nothing then. Undefined otherwise.
+     * Gets the retry delay in milliseconds if only the rate limits that endpoints declare keep it from starting, in which case
+     * waiting for capacity is useless; undefined otherwise.
      */
     getLimitReturn(): number | undefined;
 }
--- a/src/request/admission/start/usualDeadlines.ts
+++ b/src/request/admission/start/usualDeadlines.ts
@@ -1,72 +1,71 @@
 import { LRUCache } from "lru-cache";
 
-/** What was seen of one route. */
-interface SeenDeadlines {
-    /** The newest deadlines while nobody was turned away, in milliseconds, oldest first. */
-    recent: number[];
-    /** The low end of these; undefined before enough were seen. */
-    lowest: number | undefined;
+/** Observed deadlines of the callers of one route. */
+interface RouteDeadlines {
+    /** Deadlines of the latest requests outside retry windows, oldest first. */
+    recentMilliseconds: number[];
+    /** A shorter deadline indicates a retry; undefined until enough deadlines are known. */
+    thresholdMilliseconds: number | undefined;
 }
 
-/** Routes whose callers' deadlines are kept. */
-const keptRoutes = 500;
-/** Deadlines of one route by which the usual ones are known; some ten seconds of calm traffic. */
-const keptDeadlines = 100;
-/** One in so many may lie below without being taken for a return. */
-const lowestOf = 25;
-/** Callers that were turned away have come back after this time: a third of the longest usual deadline. */
-const returnMilliseconds = 7_000;
+/** Maximum number of routes for which deadlines are stored. */
+const maximumRoutes = 500;
+/** Maximum number of deadlines that are stored for a route; about ten seconds of traffic at normal load. */
+const maximumDeadlinesPerRoute = 100;
+/** The threshold is chosen so that one in this many of the stored deadlines is below it. */
+const thresholdDivisor = 25;
+/** Time within which refused callers have retried: a third of the longest typical deadline. */
+const retryWindowMilliseconds = 7_000;
 
 /**
- * Tells callers that come back from new ones: a caller says how much time it has left, and one that was turned away has less
- * than callers of its route usually have. What is usual is learnt while nobody is turned away.
+ * Distinguishes retries from new requests by their deadlines: a caller sends the time that it has left, and after a refusal it
+ * has less left than callers of its route typically have. The typical deadlines are learned while no requests are refused.
  */
 export class UsualDeadlines {
-    private readonly routes = new LRUCache<string, SeenDeadlines>({ max: keptRoutes });
+    private readonly routes = new LRUCache<string, RouteDeadlines>({ max: maximumRoutes });
     private refusedAt = -Infinity;
 
     private constructor() {}
 
-    /** Creates a record that knows of no deadlines. */
+    /** Creates an instance without observed deadlines. */
     static create(): UsualDeadlines {
         return new UsualDeadlines();
     }
 
-    /** Notes that a caller was turned away, and may come back. */
+    /** Records that a caller was refused and may retry. */
     noteRefusal(now: number): void {
         this.refusedAt = now;
     }
 
     /**
-     * Notes a request's deadline.
-     * @param route - Name of its route.
-     * @param deadlineMilliseconds - Time that its caller waits, as it says; undefined where it doesn't.
+     * Records the deadline of a request and gets whether the request is probably a retry.
+     * @param route - Name of the route.
+     * @param deadlineMilliseconds - Time that the caller will wait for the answer; undefined if it sent none.
      * @param now - Monotonic time in milliseconds.
-     * @returns Whether its caller has come back.
      */
     note(route: string, deadlineMilliseconds: number | undefined, now: number): boolean {
         if (deadlineMilliseconds === undefined) {
             return false;
         }
-        const seen = this.routes.get(route) ?? { recent: [], lowest: undefined };
-        this.routes.set(route, seen);
-        if (now - this.refusedAt > returnMilliseconds) {
-            learn(seen, deadlineMilliseconds);
+        const known = this.routes.get(route) ?? { recentMilliseconds: [], thresholdMilliseconds: undefined };
+        this.routes.set(route, known);
+        if (now - this.refusedAt > retryWindowMilliseconds) {
+            addDeadline(known, deadlineMilliseconds);
             return false;
         }
-        return seen.lowest !== undefined && deadlineMilliseconds < seen.lowest;
+        return known.thresholdMilliseconds !== undefined && deadlineMilliseconds < known.thresholdMilliseconds;
     }
 }
 
-function learn(seen: SeenDeadlines, deadlineMilliseconds: number): void {
-    const { recent } = seen;
-    recent.push(deadlineMilliseconds);
-    if (recent.length > keptDeadlines) {
-        recent.shift();
+function addDeadline(known: RouteDeadlines, deadlineMilliseconds: number): void {
+    const { recentMilliseconds } = known;
+    recentMilliseconds.push(deadlineMilliseconds);
+    if (recentMilliseconds.length > maximumDeadlinesPerRoute) {
+        recentMilliseconds.shift();
     }
-    if (recent.length < lowestOf) {
+    if (recentMilliseconds.length < thresholdDivisor) {
         return;
     }
-    const ordered = recent.toSorted((left, right) => left - right);
-    seen.lowest = ordered[Math.floor(ordered.length / lowestOf)];
+    const ordered = recentMilliseconds.toSorted((left, right) => left - right);
+    known.thresholdMilliseconds = ordered[Math.floor(ordered.length / thresholdDivisor)];
 }
--- a/src/request/admission/waiter.ts
+++ b/src/request/admission/waiter.ts
@@ -5,20 +5,20 @@
 import type { QueueEntry } from "./queueEntry.ts";
 import type { Refusal } from "./refusal.ts";
 
-/** A request that waits for its admission. It is settled once. */
+/** A request that waits for its admission, which settles once. */
 export class Waiter {
     readonly request: AdmissionRequest;
     /** Monotonic time in milliseconds. */
     readonly arrivedAt: number;
-    /** Monotonic time after which the request must not start any more, in milliseconds. */
+    /** Monotonic time after which the request must not start, in milliseconds. */
     readonly latestStart: number;
-    /** Place in the queue; set once the waiter is queued. */
+    /** Entry in the queue; set when the waiter is enqueued. */
     entry: QueueEntry<Waiter> | undefined;
-    /** Settles with the ticket or the refusal; never rejects. */
+    /** Resolves to the ticket or the refusal; never rejects. */
     readonly result: Promise<Result<AdmissionTicket, Refusal>>;
     private resolve!: (result: Result<AdmissionTicket, Refusal>) => void;
     private timer: TimerHandle | undefined;
-    private cancel: (() => void) | undefined;
+    private onAbort: (() => void) | undefined;
 
     private constructor(request: AdmissionRequest, arrivedAt: number, latestStart: number) {
         this.request = request;
@@ -30,42 +30,42 @@
     }
 
     /**
-     * Creates a waiter whose admission is not decided.
+     * Creates a waiter that has not been admitted or refused.
      * @param request - The waiting request.
      * @param arrivedAt - Monotonic time of the arrival, in milliseconds.
-     * @param latestStart - Monotonic time after which the request must not start any more, in milliseconds.
+     * @param latestStart - Monotonic time after which the request must not start, in milliseconds.
      */
     static create(request: AdmissionRequest, arrivedAt: number, latestStart: number): Waiter {
         return new Waiter(request, arrivedAt, latestStart);
     }
 
     /**
-     * Sets what ends the wait early.
-     * @param timer - Timer of the latest time to start.
-     * @param onAbort - Called when the caller goes away.
+     * Sets the timer and the abort listener to cancel when the wait ends.
+     * @param timer - Timer of the latest start.
+     * @param onAbort - Called when the caller disconnects.
      */
     watch(timer: TimerHandle, onAbort: () => void): void {
         this.timer = timer;
-        this.cancel = onAbort;
+        this.onAbort = onAbort;
         this.request.signal?.addEventListener("abort", onAbort, { once: true });
     }
 
-    /** Ends the wait with the right to run. */
+    /** Ends the wait with a ticket. */
     admit(ticket: AdmissionTicket): void {
-        this.unwatch();
+        this.clearCancellation();
         this.resolve(Ok(ticket));
     }
 
     /** Ends the wait with a refusal. */
     refuse(refusal: Refusal): void {
-        this.unwatch();
+        this.clearCancellation();
         this.resolve(Err(refusal));
     }
 
-    private unwatch(): void {
+    private clearCancellation(): void {
         this.timer?.cancel();
-        if (this.cancel !== undefined) {
-            this.request.signal?.removeEventListener("abort", this.cancel);
+        if (this.onAbort !== undefined) {
+            this.request.signal?.removeEventListener("abort", this.onAbort);
         }
     }
 }
--- a/src/request/admitRequest.ts
+++ b/src/request/admitRequest.ts
@@ -10,7 +10,7 @@
 const noEndpointCode = "no_endpoint";
 const noEndpointRetryMilliseconds = 1_000;
 
-/** The codes that callers get for each kind of refusal. */
+/** Error codes in the answers to callers, by kind of refusal. */
 const refusalCodes: Readonly<Record<RefusalKind, string>> = {
     [RefusalKind.QueueFull]: "queue_full",
     [RefusalKind.WaitTooLong]: "wait_too_long",
@@ -20,11 +20,11 @@
 };
 
 /**
- * Waits for a place for a request, or refuses it as not run.
- * @param environment - Parts of the process.
+ * Waits until a request is admitted, or gets the "not run" error of its refusal.
+ * @param environment - Services of the process.
  * @param context - The request.
  * @param gate - Name of the gate, see `getGateName`.
- * @param cost - Expected work in tokens; 1 for a call of a document service.
+ * @param cost - Expected cost in tokens; 1 for a call of a document service.
  */
 export async function admitRequest(
     environment: RequestEnvironment,
--- a/src/request/claimDecision.ts
+++ b/src/request/claimDecision.ts
@@ -1,18 +1,18 @@
 import type { KeptAnswer } from "./keptAnswer.ts";
 
-/** What the claim of an idempotency key came to. */
+/** The result of claiming an idempotency key. */
 export type ClaimDecision =
-    /** This request, and no other, may run. */
+    /** This request may run, and no other with the same key. */
     | { kind: "granted"; }
-    /** The request ran before; this is its answer. */
+    /** An earlier request with the key has finished with this answer. */
     | { kind: "answered"; answer: KeptAnswer; }
-    /** The request is running, on this or another node. */
+    /** An earlier request with the key is running, on this or another node. */
     | { kind: "running"; }
-    /** The request was started; its answer is lost or may come too late to be known. */
+    /** An earlier request with the key was started, and its answer is lost or may arrive too late to be stored. */
     | { kind: "unknown"; }
-    /** The key was used with another body. */
+    /** The key was used with a different body. */
     | { kind: "bodyMismatch"; }
-    /** The key is malformed, past its window, or from the future. */
+    /** The key is malformed, expired or from the future. */
     | { kind: "badKey"; message: string; }
-    /** The claim could not be made: this sending does not run. Where the key is unclaimed, no earlier one is known. */
+    /** The claim failed, so this attempt does not run. If `isUnclaimed`, no earlier attempt with the key is known. */
     | { kind: "unavailable"; isUnclaimed: boolean; };
--- a/src/request/claimRequest.ts
+++ b/src/request/claimRequest.ts
@@ -8,25 +8,25 @@
 import type { RequestEnvironment } from "./requestEnvironment.ts";
 import { RequestError } from "./requestError.ts";
 
-/** The claim of a request that may go on. */
+/** The claim of a request that needs no error answer. */
 export type RequestClaim =
-    /** The request may be repeated; nothing was claimed. */
+    /** The request is idempotent, so no key was claimed. */
     | { kind: "unclaimed"; }
-    /** The request, and no other with this key, may run. */
+    /** This request may run, and no other with the same key. */
     | { kind: "granted"; key: string; }
-    /** The request ran before. */
+    /** An earlier request with the key has finished. */
     | { kind: "answered"; answer: KeptAnswer; };
 
 const runningRetryMilliseconds = 1_000;
 const unavailableRetryMilliseconds = 2_000;
 
 /**
- * Claims the key of a request that must run at most once: one whose service or caller says so, or that carries a UUID of
- * version 7 as its key.
- * @param environment - Parts of the process.
+ * Claims the idempotency key of a request that must run at most once: the service or the caller requires it, or the key is a
+ * UUID version 7.
+ * @param environment - Services of the process.
  * @param context - The request.
- * @param isIdempotentService - Whether calls of the service may be repeated.
- * @param content - What the request asks for: method, path and body.
+ * @param isIdempotentService - Whether calls of the service are idempotent.
+ * @param content - Method, path and body of the request.
  */
 export async function claimRequest(
     environment: RequestEnvironment,
@@ -41,7 +41,7 @@
     }
     const key = createClaimKey(context.customer, idempotencyKey);
     if (getIssueTime(key) === undefined) {
-        // Some chat clients send keys of their own with every request; they ask for nothing that a repeat would harm.
+        // Some chat clients send their own kind of key with every request; repeating those requests does no harm.
         return mayBeRepeated ? Ok({ kind: "unclaimed" }) : Err(createMalformedKeyError());
     }
     const startedAt = environment.clock.getMonotonicTime();
@@ -87,8 +87,8 @@
 function createUnavailableError(context: RequestContext, isUnclaimed: boolean): RequestError {
     if (!isUnclaimed) {
         const message =
-            "The claim of the idempotency key could not be checked, so this sending did not run; an earlier one "
-            + "with the key may have. Send it again with the same key.";
+            "The claim of the idempotency key could not be checked, so this attempt did not run; an earlier attempt "
+            + "with the key may have run. Send it again with the same key.";
         return RequestError.undecided(message, unavailableRetryMilliseconds);
     }
     return RequestError.notRun(context.permit, {
@@ -106,7 +106,7 @@
 }
 
 function createMalformedKeyError(): RequestError {
-    const message = "The idempotency key is not a UUID of version 7. Create one for each new request.";
+    const message = "The idempotency key is not a UUID version 7. Create one for each new request.";
     return RequestError.invalid(400, "bad_idempotency_key", message);
 }
 
--- a/src/request/gateCapacities.ts
+++ b/src/request/gateCapacities.ts
@@ -8,14 +8,14 @@
     clock: Clock;
     getConfiguration(): Configuration;
     getEndpointState(endpoint: string): EndpointState | undefined;
-    /** Called when the capacity of a gate that was asked for has grown: more of what waits may start. */
+    /** Called when the capacity of a gate has increased, so that more waiting requests may start. */
     onGrown(gate: string): void;
 }
 
-/** Working out one gate takes about 0.3 ms at 1,200 engines, and there is a gate a model. */
+/** Not shorter, since computing the capacity of one gate takes about 0.3 ms at 1,200 engines and every model has a gate. */
 const refreshMilliseconds = 500;
 
-/** Keeps the capacities of the gates that were asked for, worked out anew a few times a second. */
+/** Caches the capacities of the gates that have been requested, and refreshes them periodically. */
 export class GateCapacities {
     private readonly options: GateCapacitiesOptions;
     private readonly capacities = new Map<string, number>();
@@ -25,36 +25,36 @@
         this.options = options;
     }
 
-    /** Creates the capacities; they are not refreshed before {@link GateCapacities.start}. */
+    /** Creates an empty cache that is not refreshed until {@link GateCapacities.start}. */
     static create(options: GateCapacitiesOptions): GateCapacities {
         return new GateCapacities(options);
     }
 
-    /** Starts to refresh. */
+    /** Refreshes the capacities immediately and then periodically. */
     start(): void {
-        for (const [gate, known] of this.capacities) {
+        for (const [gate, previous] of this.capacities) {
             const capacity = this.compute(gate);
             this.capacities.set(gate, capacity);
-            if (capacity > known) {
+            if (capacity > previous) {
                 this.options.onGrown(gate);
             }
         }
         this.timer = this.options.clock.setTimer(refreshMilliseconds, () => this.start());
     }
 
-    /** Stops refreshing. */
+    /** Stops the periodic refresh. */
     stop(): void {
         this.timer?.cancel();
     }
 
     /**
-     * Gets how many requests pass a gate at the same time over all nodes; at most 500 ms old.
+     * Gets the concurrency of a gate over all nodes, in requests; may be up to 500 ms old.
      * @param gate - Name of the gate, see `getGateName`.
      */
     getCapacity(gate: string): number {
-        const known = this.capacities.get(gate);
-        if (known !== undefined && known > 0) {
-            return known;
+        const cached = this.capacities.get(gate);
+        if (cached !== undefined && cached > 0) {
+            return cached;
         }
         const capacity = this.compute(gate);
         this.capacities.set(gate, capacity);
--- a/src/request/getGateCapacity.ts
+++ b/src/request/getGateCapacity.ts
@@ -2,14 +2,13 @@
 import type { Configuration } from "../version/configuration.ts";
 import { modelGatePrefix } from "./modelGatePrefix.ts";
 
-/** Gets what is believed of an endpoint. */
+/** Gets the last known state of an endpoint; undefined if unknown. */
 type GetEndpointState = (endpoint: string) => EndpointState | undefined;
 
 /**
- * Gets how many requests pass a gate at the same time, over all nodes.
+ * Gets the concurrency of a gate over all nodes, in requests.
  * @param configuration - The configuration in force.
  * @param gate - Name of the gate, see `getGateName`.
- * @param getEndpointState - Gets what is believed of an endpoint.
  */
 export function getGateCapacity(
     configuration: Configuration,
@@ -32,26 +31,31 @@
     return capacity;
 }
 
-/** The layer with the fewest places decides, since each sequence holds a place at every layer. */
+/** Gets the capacity of the layer with the least capacity, since each sequence occupies every layer. */
 function getModelCapacity(configuration: Configuration, model: string, getEndpointState: GetEndpointState): number {
     const layers = configuration.models[model]?.layers ?? 0;
-    const places = new Array<number>(layers).fill(0);
+    const layerCapacities = new Array<number>(layers).fill(0);
     for (const [name, endpoint] of Object.entries(configuration.endpoints)) {
         const state = getEndpointState(name);
         if (state?.state === "serving") {
-            addPlaces(places, state, model, endpoint.maximumSequences);
+            addLayerCapacities(layerCapacities, state, model, endpoint.maximumSequences);
         }
     }
-    return layers === 0 ? 0 : Math.min(...places);
+    return layers === 0 ? 0 : Math.min(...layerCapacities);
 }
 
-function addPlaces(places: number[], state: EndpointState, model: string, maximumSequences: number): void {
+function addLayerCapacities(
+    layerCapacities: number[],
+    state: EndpointState,
+    model: string,
+    maximumSequences: number,
+): void {
     for (const range of state.layers) {
         if (range.model !== model) {
             continue;
         }
-        for (let layer = range.start; layer < Math.min(range.end, places.length); layer += 1) {
-            places[layer] = (places[layer] ?? 0) + maximumSequences;
+        for (let layer = range.start; layer < Math.min(range.end, layerCapacities.length); layer += 1) {
+            layerCapacities[layer] = (layerCapacities[layer] ?? 0) + maximumSequences;
         }
     }
 }
--- a/src/request/getGateName.ts
+++ b/src/request/getGateName.ts
@@ -2,7 +2,8 @@
 import { modelGatePrefix } from "./modelGatePrefix.ts";
 
 /**
- * Gets the name of the gate that a service's requests pass. Services of one model share its engines and so their gate.
+ * Gets the name of the gate that admits the requests of a service. A gate is the concurrency limit and the queue in front of a
+ * set of endpoints; services of one model share the model's engines and therefore a gate.
  * @param name - Name of the service.
  * @param service - The service.
  */
--- a/src/request/keptAnswer.ts
+++ b/src/request/keptAnswer.ts
@@ -1,4 +1,4 @@
-/** The final answer of a claimed request, kept for the caller's repeats. */
+/** The stored final answer of a claimed request, which is replayed to retries of the caller. */
 export interface KeptAnswer {
     status: number;
     contentType: string;
--- a/src/request/modelGatePrefix.ts
+++ b/src/request/modelGatePrefix.ts
@@ -1,2 +1,2 @@
-/** Begins the names of the gates of models. No service's name begins with a slash, so the names cannot clash. */
+/** Prefix of the gate names of models. Service names don't start with a slash, so there are no collisions. */
 export const modelGatePrefix = "/model/";
--- a/src/request/notRunPermit.ts
+++ b/src/request/notRunPermit.ts
@@ -1,9 +1,9 @@
 import { InvariantError } from "../process/invariantError.ts";
 
 /**
- * The right to answer "not run". A request holds one from its arrival and gives it up at its first dispatch, so a
- * not-run answer cannot be built once a byte may have reached an endpoint. The right is restored where an endpoint
- * answers that it did not run the request, or no connection to it was made.
+ * Guards "not run" answers. A request holds the permit from its arrival until its first dispatch, so no "not run" answer can
+ * be created once a byte may have reached an endpoint. The permit is restored if the endpoint answers that it did not run
+ * the request, or if no connection to it was established.
  */
 export class NotRunPermit {
     private isHeld = true;
@@ -15,28 +15,31 @@
         return new NotRunPermit();
     }
 
-    /** Gives the right up: from here on a byte may reach an endpoint. */
+    /** Revokes the permit, since bytes may reach an endpoint from now on. */
     giveUp(): void {
         this.isHeld = false;
     }
 
-    /** Takes the right back: no endpoint has run any part of the request. */
+    /** Restores the permit, since no endpoint has run any part of the request. */
     restore(): void {
         this.isHeld = true;
     }
 
-    /** Tells whether "not run" would be true. */
+    /** Gets whether the request has certainly not run. */
     isAvailable(): boolean {
         return this.isHeld;
     }
 
     /**
-     * Uses the right for an answer.
-     * @throws InvariantError where the request may have run.
+     * Asserts that a "not run" answer is correct.
+     * @throws InvariantError if the request may have run.
      */
     use(): void {
         if (!this.isHeld) {
-            throw InvariantError.create("notRunIsTrue", "A not-run answer was built for a request that may have run.");
+            throw InvariantError.create(
+                "notRunIsTrue",
+                'A "not run" answer was created for a request that may have run.',
+            );
         }
     }
 }
--- a/src/request/outcome.ts
+++ b/src/request/outcome.ts
@@ -1,20 +1,20 @@
-/** How a request ended. Every request gets exactly one of these. */
+/** How a request ended. Every request has exactly one outcome. */
 export const Outcome = {
-    /** The whole answer was given. */
+    /** The complete answer was sent. */
     Finished: "finished",
-    /** This sending surely did not and will not run, and no earlier one with its key is known: the caller may ask again. */
+    /** This attempt certainly did not run, and no earlier attempt with its key is known, so the caller may retry. */
     NotRun: "notRun",
-    /** This sending did not run; whether an earlier one with the same key did cannot be told now. */
+    /** This attempt did not run, but an earlier attempt with the same key may have. */
     Undecided: "undecided",
-    /** Started; whether it took effect is not known; never repeated. */
+    /** Started, and it is unknown whether it took effect; never retried. */
     OutcomeUnknown: "outcomeUnknown",
     /** Started and failed. */
     Failed: "failed",
-    /** The request itself is wrong; nothing ran. */
+    /** The request is invalid; nothing ran. */
     Invalid: "invalid",
     /** An earlier request with the same key is running. */
     Running: "running",
-    /** The caller went away. */
+    /** The caller disconnected. */
     Cancelled: "cancelled",
 } as const;
 export type Outcome = typeof Outcome[keyof typeof Outcome];
--- a/src/request/requestContext.ts
+++ b/src/request/requestContext.ts
@@ -2,25 +2,25 @@
 import type { ConfigurationVersion } from "../version/configurationVersion.ts";
 import type { NotRunPermit } from "./notRunPermit.ts";
 
-/** What belongs to one request from its arrival to its final answer. */
+/** Data of one request from its arrival to its final answer. */
 export interface RequestContext {
     /** UUID version 7. */
     id: string;
-    /** Name of the customer whose key the caller showed. */
+    /** Name of the customer that the caller's API key belongs to. */
     customer: string;
-    /** The configuration in force when the request arrived; it holds for the whole request. */
+    /** Configuration that was in force when the request arrived; used for the whole request. */
     version: ConfigurationVersion;
     /** Monotonic time of the arrival, in milliseconds. */
     arrivedAt: number;
-    /** Idempotency key of the caller, if any. */
+    /** Idempotency key that the caller sent, if any. */
     idempotencyKey: string | undefined;
     /** Whether the caller marked the request as non-idempotent. */
     isMarkedNonIdempotent: boolean;
-    /** Monotonic time at which the answer loses its use; undefined where the caller set none. */
+    /** Monotonic time in milliseconds after which the caller has no use for the answer; undefined if the caller set none. */
     deadline: number | undefined;
-    /** Aborts when the caller has gone away or the node is forced to stop. */
+    /** Aborted when the caller disconnects or the node is forced to stop. */
     signal: AbortSignal;
-    /** Aborts when the node is forced to stop; the caller's leaving does not count. */
+    /** Aborted only when the node is forced to stop, not when the caller disconnects. */
     stopSignal: AbortSignal;
     permit: NotRunPermit;
     span: Span;
--- a/src/request/requestEnvironment.ts
+++ b/src/request/requestEnvironment.ts
@@ -9,7 +9,7 @@
 import type { ChainChooser } from "./chain/chainChooser.ts";
 import type { ClaimGate } from "./claimGate.ts";
 
-/** The parts of the process that requests use. */
+/** Services of the process that requests use. */
 export interface RequestEnvironment {
     dataCentre: string;
     clock: Clock;
@@ -22,6 +22,6 @@
     chooser: ChainChooser;
     endpoints: EndpointDirectory;
     claims: ClaimGate;
-    /** Gets how many requests pass a gate at the same time over all nodes; 0 where no endpoint can serve them. */
+    /** Gets the concurrency of a gate over all nodes, in requests; 0 if no endpoint can serve them. */
     getGateCapacity(gate: string): number;
 }
--- a/src/request/requestError.ts
+++ b/src/request/requestError.ts
@@ -1,7 +1,7 @@
 import type { NotRunPermit } from "./notRunPermit.ts";
 import { Outcome } from "./outcome.ts";
 
-/** Fields of a not-run answer. */
+/** Fields of a "not run" answer. */
 interface NotRunFields {
     status: number;
     code: string;
@@ -18,14 +18,14 @@
     retryAfterMilliseconds: number | undefined;
 }
 
-/** A final answer that is not the answer the caller asked for. Built only by the functions of this class. */
+/** A final answer that reports an error. Its static functions set the outcome, the status and the code consistently. */
 export class RequestError {
     readonly outcome: Exclude<Outcome, "finished">;
     readonly status: number;
-    /** Machine-readable kind, in the error body's `code`. */
+    /** Machine-readable kind, sent as `code` in the error body. */
     readonly code: string;
     readonly message: string;
-    /** When to come back, in milliseconds. */
+    /** Time after which the caller should retry. */
     readonly retryAfterMilliseconds: number | undefined;
 
     private constructor(fields: RequestErrorFields) {
@@ -37,21 +37,22 @@
     }
 
     /**
-     * The request was not run; the caller may ask again.
-     * @param permit - Shows that nothing can have run; it is used up.
-     * @param fields - Status, code, message and when to come back.
+     * Creates the error of a request that did not run, so the caller may retry.
+     * @param permit - Permit of the request.
+     * @param fields - Status, code, message and retry delay.
+     * @throws InvariantError if the request may have run.
      */
     static notRun(permit: NotRunPermit, fields: NotRunFields): RequestError {
         permit.use();
         return new RequestError({ outcome: Outcome.NotRun, ...fields });
     }
 
-    /** The request itself is wrong. */
+    /** Creates the error of an invalid request. */
     static invalid(status: number, code: string, message: string): RequestError {
         return new RequestError({ outcome: Outcome.Invalid, status, code, message, retryAfterMilliseconds: undefined });
     }
 
-    /** The claim of the key could not be made: this sending did not run, an earlier one with the same key may have. */
+    /** Creates the error of a failed claim: this attempt did not run, but an earlier one with the same key may have. */
     static undecided(message: string, retryAfterMilliseconds: number): RequestError {
         return new RequestError({
             outcome: Outcome.Undecided,
@@ -62,12 +63,12 @@
         });
     }
 
-    /** The request was started and it is not known whether it took effect. */
+    /** Creates the error of a request that was started, where it is unknown whether it took effect. */
     static outcomeUnknown(message: string): RequestError {
         return RequestError.create(Outcome.OutcomeUnknown, 502, "outcome_unknown", message);
     }
 
-    /** A request with the same key is running; its answer can be had later. */
+    /** Creates the error of a request whose key belongs to a running request; a later retry gets the answer. */
     static running(retryAfterMilliseconds: number): RequestError {
         return new RequestError({
             outcome: Outcome.Running,
@@ -78,12 +79,12 @@
         });
     }
 
-    /** The request was started and failed. */
+    /** Creates the error of a request that was started and failed. */
     static failed(message: string): RequestError {
         return RequestError.create(Outcome.Failed, 502, "failed", message);
     }
 
-    /** The caller went away before its answer was whole. */
+    /** Creates the error of a request whose caller disconnected before the answer was complete. */
     static cancelled(): RequestError {
         return RequestError.create(Outcome.Cancelled, 499, "cancelled", "The caller closed the connection.");
     }
--- a/src/request/settleOnThrow.ts
+++ b/src/request/settleOnThrow.ts
@@ -2,8 +2,8 @@
 import type { RequestEnvironment } from "./requestEnvironment.ts";
 
 /**
- * Runs a claimed request; where it throws, its key does not stay "running" for good but is known as started.
- * @param environment - Parts of the process.
+ * Runs a request and, if that throws, settles its claim as unknown. Otherwise the key would stay "running" forever.
+ * @param environment - Services of the process.
  * @param claim - The claim of the request.
  * @param run - Runs the request.
  */
--- a/tests/request/admission/admission.test.ts
+++ b/tests/request/admission/admission.test.ts
@@ -3,7 +3,7 @@
 import { AdmissionFixture } from "./admissionFixture.ts";
 
 describe("Admission", () => {
-    it("admits up to the limit, then in turn as tickets are released, each once", async () => {
+    it("admits up to the concurrency limit and then one request per released ticket", async () => {
         const fixture = AdmissionFixture.create({ customers: { alice: { priority: 7 } } });
         const first = await fixture.send();
         const second = await fixture.send();
@@ -18,7 +18,7 @@
         assert.equal(third.answeredAt, undefined);
     });
 
-    it("refuses a waiting request at the moment at which it can no longer end in time", async () => {
+    it("refuses a waiting request as soon as it can no longer meet its deadline", async () => {
         const fixture = AdmissionFixture.create();
         await fixture.learnRate();
         await fixture.send();
@@ -30,14 +30,14 @@
         assert.equal(fixture.admission.waitingCount, 0);
     });
 
-    it("refuses after the longest wait where there is no deadline", async () => {
+    it("refuses a request without a deadline after the maximum wait", async () => {
         const fixture = AdmissionFixture.create({ limits: { maximumQueueMilliseconds: 300 }, places: 0 });
         const waiting = await fixture.send();
         await fixture.advance(1_000);
         assert.deepEqual([waiting.refusal?.kind, waiting.answeredAt], ["waitTooLong", 300]);
     });
 
-    it("refuses at once what would wait too long, and says when to come back", async () => {
+    it("immediately refuses requests that would wait too long, with spread retry delays", async () => {
         const fixture = AdmissionFixture.create({ limits: { maximumQueueMilliseconds: 3_000 } });
         await fixture.learnRate();
         const answers = await Promise.all(Array.from({ length: 8 }, () => fixture.send()));
@@ -45,11 +45,11 @@
         assert.equal(refusals.length, 4);
         const returns = refusals.map(refusal => refusal.retryAfterMilliseconds);
         assert.equal(new Set(returns).size, 4);
-        // Three seconds of work wait; the queue is half empty after 1.5 s at the earliest.
+        // The queue holds 3 s of work, so it is half empty after 1.5 s at the earliest.
         assert.ok(Math.min(...returns) >= 1_500, String(returns));
     });
 
-    it("does not refuse a customer for the queue of another", async () => {
+    it("does not refuse a customer because of another customer's queue", async () => {
         const fixture = AdmissionFixture.create({ limits: { maximumQueueMilliseconds: 3_000 } });
         await fixture.learnRate();
         await Promise.all(Array.from({ length: 6 }, () => fixture.send()));
@@ -57,14 +57,14 @@
         assert.equal(bob.refusal, undefined);
     });
 
-    it("gives a place in a full queue to the customer that holds less of it", async () => {
+    it("evicts a request from a full queue for a customer with less in the queue", async () => {
         const fixture = AdmissionFixture.create({ limits: { maximumQueuedRequests: 4 } });
         const answers = [];
         for (const customer of ["alice", "alice", "alice", "bob", "bob", "carol", "alice"]) {
             answers.push(await fixture.send({ customer }));
         }
         const kinds = answers.map(answer => answer.refusal?.kind);
-        // Carol is not in the configuration; the last request finds the half of the queue that one may hold taken.
+        // Carol is not in the configuration; Alice's last request exceeds the half of the queue that one customer may occupy.
         assert.deepEqual(kinds.slice(5), ["rateLimited", "queueFull"]);
         assert.equal(fixture.admission.waitingCount, 4);
         fixture.configuration.customers.carol = { keyHashes: [], weight: 1, requestsPerSecond: 9, priority: 0 };
@@ -74,7 +74,7 @@
         assert.equal(fixture.admission.waitingCount, 4);
     });
 
-    it("drops a request whose caller goes away", async () => {
+    it("removes a waiting request when its caller disconnects", async () => {
         const fixture = AdmissionFixture.create();
         await fixture.send();
         const abort = new AbortController();
@@ -86,7 +86,7 @@
         assert.equal((await fixture.send({ signal: abort.signal })).refusal?.kind, "cancelled");
     });
 
-    it("refuses new and waiting requests while draining and lets the running one end", async () => {
+    it("refuses new and waiting requests while draining and lets running requests finish", async () => {
         const fixture = AdmissionFixture.create();
         const running = await fixture.send();
         const waiting = await fixture.send();
@@ -98,7 +98,7 @@
         assert.deepEqual(fixture.admission.getGateLoads(), [{ gate: "chat", running: 0, waiting: 0, limit: 1 }]);
     });
 
-    it("admits what waits when the limit grows, and fewer after an engine's refusal", async () => {
+    it("admits waiting requests when the limit increases, and lowers the limit after an engine's refusal", async () => {
         const fixture = AdmissionFixture.create({ places: 0 });
         const waiting = await Promise.all(Array.from({ length: 4 }, () => fixture.send()));
         fixture.places = 10;
@@ -109,7 +109,7 @@
         assert.equal(fixture.admission.getGateLoads()[0]?.limit, 3);
     });
 
-    it("does not count a request against its customer's limit that it refuses for the wait", async () => {
+    it("does not count a request against the rate limit if it is refused because of the wait", async () => {
         const fixture = AdmissionFixture.create({ customers: { alice: { requestsPerSecond: 1 } } });
         await fixture.send();
         const late = await fixture.send({ deadline: -1 });
--- a/tests/request/admission/admissionFixture.ts
+++ b/tests/request/admission/admissionFixture.ts
@@ -14,15 +14,15 @@
     places?: number;
 }
 
-/** What became of one request: nothing yet while both are undefined. */
+/** The result of one request; pending while both the ticket and the refusal are undefined. */
 interface Answer {
     ticket?: AdmissionTicket;
     refusal?: Refusal;
-    /** Virtual time of the answer, in milliseconds. */
+    /** Virtual time of the result, in milliseconds. */
     answeredAt?: number;
 }
 
-/** An admission under a virtual clock. */
+/** An admission with a virtual clock. */
 export class AdmissionFixture {
     readonly clock = VirtualClock.create();
     readonly admission: Admission;
@@ -44,7 +44,7 @@
         return new AdmissionFixture(options);
     }
 
-    /** Sends a request and notes its answer when it comes. */
+    /** Sends a request; the returned object is filled in when the request is admitted or refused. */
     async send(request: Partial<AdmissionRequest> = {}): Promise<Answer> {
         const answer: Answer = {};
         const whole = { customer: "alice", gate: "chat", cost: 100, ...request };
@@ -61,12 +61,12 @@
         return answer;
     }
 
-    /** Lets virtual time pass. */
+    /** Advances the virtual time. */
     async advance(milliseconds: number): Promise<void> {
         await this.clock.runUntil(this.clock.getMonotonicTime() + milliseconds);
     }
 
-    /** Teaches the admission that a run of 100 tokens takes a second. */
+    /** Lets the admission learn its drain rate from a request of 100 tokens that runs for 1 s. */
     async learnRate(): Promise<void> {
         const answer = await this.send();
         await this.advance(1_000);
--- a/tests/request/admission/customerLimits.test.ts
+++ b/tests/request/admission/customerLimits.test.ts
@@ -17,7 +17,7 @@
     return { limits, clock };
 }
 
-/** Sends requests at an even rate and returns how many passed in the last second. */
+/** Sends requests at a constant rate for 5 s and gets how many were admitted in the last second. */
 async function countPassed(limits: CustomerLimits, clock: VirtualClock, perSecond: number): Promise<number> {
     const startedAt = clock.getMonotonicTime();
     let passed = 0;
@@ -34,7 +34,7 @@
 }
 
 describe("CustomerLimits", () => {
-    it("lets a customer's limit through and refuses the rest with a time to return", async () => {
+    it("admits requests up to the limit and refuses the rest with a retry delay", async () => {
         const { limits, clock } = createLimits();
         assertNear(await countPassed(limits, clock, 80), 80);
         assertNear(await countPassed(limits, clock, 400), 100);
@@ -44,7 +44,7 @@
         assert.ok(refusal.retryAfterMilliseconds > 0);
     });
 
-    it("takes its part by demand, and the whole again when the peers fall silent or leave", async () => {
+    it("shares the limit by demand, and uses all of it after the peers become silent or leave", async () => {
         const { limits, clock } = createLimits();
         const report = () => limits.applyPeerDemand("peer", [{ customer: "alice", requestsPerSecond: 300 }]);
         report();
@@ -61,7 +61,7 @@
         assertNear(await countPassed(limits, clock, 100), 100);
     });
 
-    it("takes the silent rest of the nodes to be like those that report", async () => {
+    it("assumes the mean reported demand for nodes that have not reported", async () => {
         const { limits, clock } = createLimits(11);
         for (const peer of ["one", "two"]) {
             limits.applyPeerDemand(peer, [{ customer: "alice", requestsPerSecond: 30 }]);
@@ -69,7 +69,7 @@
         assertNear(await countPassed(limits, clock, 100), 25);
     });
 
-    it("reports the demand of customers with recent requests", async () => {
+    it("reports the demand of customers with recent requests only", async () => {
         const { limits, clock } = createLimits();
         await countPassed(limits, clock, 200);
         const [record] = limits.getDemand();
@@ -79,7 +79,7 @@
         assert.deepEqual(limits.getDemand(), []);
     });
 
-    it("reports those first that are nearest to their limit, where it may not report all", () => {
+    it("reports the customers closest to their limits if the number of records is limited", () => {
         const clock = VirtualClock.create();
         const customers = {
             small: { requestsPerSecond: 2 },
--- a/tests/request/admission/fairQueue.test.ts
+++ b/tests/request/admission/fairQueue.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("FairQueue", () => {
-    it("shares by weight and by cost once each has had its burst", () => {
+    it("shares by weight and cost after each customer has used its burst allowance", () => {
         const queue = FairQueue.create<number>();
         enqueueMany(queue, "heavy", 3, Array<number>(900).fill(10));
         enqueueMany(queue, "light", 1, Array<number>(900).fill(10));
@@ -37,7 +37,7 @@
         assert.ok(Math.abs((taken.get("long") ?? 0) / light - 1) < 0.1);
     });
 
-    it("puts a customer that comes back before the backlog of another, without credit for its absence", () => {
+    it("serves a returning customer before another's backlog, without credit for its idle time", () => {
         const queue = FairQueue.create<number>();
         enqueueMany(queue, "large", 1, Array<number>(2_000).fill(10));
         countTaken(queue, 1_000);
@@ -47,7 +47,7 @@
         assert.ok(Math.abs((taken.get("small") ?? 0) - (taken.get("large") ?? 0)) <= 200);
     });
 
-    it("makes a customer pay for tokens beyond the expected ones", () => {
+    it("charges a customer for tokens beyond the expected cost", () => {
         const queue = FairQueue.create<number>();
         enqueueMany(queue, "honest", 1, Array<number>(500).fill(10));
         enqueueMany(queue, "modest", 1, Array<number>(500).fill(10));
@@ -61,7 +61,7 @@
         assert.ok(Math.abs(modest - 80) < 15, String(modest));
     });
 
-    it("tells whether a cost goes before a new entry", () => {
+    it("estimates whether entries of a cost go before a new entry", () => {
         const queue = FairQueue.create<number>();
         enqueueMany(queue, "large", 1, Array<number>(100).fill(10));
         countTaken(queue, 20);
@@ -70,7 +70,7 @@
         assert.equal(queue.isCostAheadOver("small", 20), false);
     });
 
-    it("keeps its counts and each customer's order whatever is added, taken and removed", () => {
+    it("keeps counts and the order per customer correct for random operations", () => {
         const command = fc.record({ kind: fc.constantFrom("add", "add", "take", "remove"), pick: fc.nat(40) });
         fc.assert(
             fc.property(fc.array(command, { maxLength: 300 }), commands => {
--- a/tests/request/admission/start/usualDeadlines.test.ts
+++ b/tests/request/admission/start/usualDeadlines.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { UsualDeadlines } from "../../../../src/request/admission/start/usualDeadlines.ts";
 
-/** New callers wait 17 to 20 s. */
+/** Creates an instance that has learned that new requests have deadlines of 17 to 20 s. */
 function createLearned(): UsualDeadlines {
     const deadlines = UsualDeadlines.create();
     for (let index = 0; index < 60; index++) {
@@ -12,7 +12,7 @@
 }
 
 describe("UsualDeadlines", () => {
-    it("takes a caller with less time than usual for one that comes back, after callers were turned away", () => {
+    it("detects a shorter deadline than usual as a retry after a refusal", () => {
         const deadlines = createLearned();
         deadlines.noteRefusal(1_000);
         assert.equal(deadlines.note("r", 13_000, 3_000), true);
@@ -21,7 +21,7 @@
         assert.equal(deadlines.note("another", 13_000, 3_000), false);
     });
 
-    it("takes nobody for one that comes back where nobody was turned away, and learns then", () => {
+    it("detects no retries without a recent refusal, and learns the deadlines", () => {
         const deadlines = createLearned();
         for (let index = 0; index < 200; index++) {
             assert.equal(deadlines.note("r", 5_000, 1_000 + index), false);
@@ -30,7 +30,7 @@
         assert.equal(deadlines.note("r", 5_000, 2_100), false);
     });
 
-    it("does not learn from returns", () => {
+    it("does not learn from retries", () => {
         const deadlines = createLearned();
         deadlines.noteRefusal(1_000);
         for (let index = 0; index < 200; index++) {
--- a/tests/request/claimRequest.test.ts
+++ b/tests/request/claimRequest.test.ts
@@ -6,7 +6,7 @@
 import type { RequestEnvironment } from "../../src/request/requestEnvironment.ts";
 
 describe("claimRequest", () => {
-    /** Claims a key and gets what came of it: the claim's kind, or the error's code. */
+    /** Claims a key and compares the kind of the claim, or the code of the error. */
     async function doTest(
         key: string | undefined,
         isIdempotentService: boolean,
@@ -25,22 +25,22 @@
         assert.equal(claim.ok ? claim.val.kind : claim.val.code, expected);
     }
 
-    it("asks for a key where the request may run only once", async () => {
+    it("requires a key if the request may run only once", async () => {
         await doTest(undefined, true, false, "unclaimed");
         await doTest(undefined, false, false, "idempotency_key_missing");
         await doTest(undefined, true, true, "idempotency_key_missing");
     });
 
-    it("claims a key that is a UUID of version 7", async () => {
+    it("claims a key that is a UUID version 7", async () => {
         await doTest(createUuid(), true, false, "granted");
         await doTest(createUuid(), false, false, "granted");
     });
 
-    it("leaves a key of another kind alone where the request may be repeated, as chat clients send such by default", async () => {
+    it("ignores other keys if the request is idempotent, since chat clients send them by default", async () => {
         await doTest(`client-retry-${createRandomUuid()}`, true, false, "unclaimed");
     });
 
-    it("refuses a key of another kind where the request may run only once", async () => {
+    it("refuses other keys if the request may run only once", async () => {
         await doTest(createRandomUuid(), false, false, "bad_idempotency_key");
         await doTest(createRandomUuid(), true, true, "bad_idempotency_key");
     });
--- a/tests/request/getGateCapacity.test.ts
+++ b/tests/request/getGateCapacity.test.ts
@@ -33,13 +33,13 @@
         assert.equal(getGateCapacity(configuration, gate, getState), expected);
     }
 
-    it("is that of the layer with the fewest places", () => {
+    it("is the capacity of the layer with the least capacity", () => {
         doTest("/model/m", [], 16);
         doTest("/model/m", ["e3"], 8);
         doTest("/model/m", ["e1", "e3"], 0);
     });
 
-    it("is the sum of a document service's serving endpoints", () => {
+    it("is the sum over the serving endpoints of a document service", () => {
         doTest("receipts", [], 5);
         doTest("receipts", ["d1"], 0);
         doTest("nothing", [], 0);
--- a/tests/request/settleOnThrow.test.ts
+++ b/tests/request/settleOnThrow.test.ts
@@ -4,7 +4,7 @@
 import { settleOnThrow } from "../../src/request/settleOnThrow.ts";
 
 describe("settleOnThrow", () => {
-    it("settles a granted claim as unknown where the run throws, and passes the error on", async () => {
+    it("settles a granted claim as unknown if the run throws, and rethrows the error", async () => {
         const settled: string[] = [];
         const claims = { settle: (key: string, end: { kind: string; }) => settled.push(`${key} ${end.kind}`) };
         const environment = { claims } as unknown as RequestEnvironment;
