--- a/tests/request/admission/start/startLine.test.ts
+++ b/tests/request/admission/start/startLine.test.ts
@@ -48,7 +48,7 @@
     return fixture;
 }
 
-describe("StartLine", () => {
+describe("StartQueue", () => {
     it("starts requests while there is capacity and queues the others", () => {
         const fixture = createFixture(100);
         assert.deepEqual(fixture.queue.decideArrival(fixture.create("first"), 0), { kind: "start", place: "first" });
--- a/tests/request/admission/start/usualDeadlines.test.ts
+++ b/tests/request/admission/start/usualDeadlines.test.ts
@@ -11,7 +11,7 @@
     return deadlines;
 }
 
-describe("UsualDeadlines", () => {
+describe("RetryDetector", () => {
     it("detects a shorter deadline than usual as a retry after a refusal", () => {
         const deadlines = createLearned();
         deadlines.noteRefusal(1_000);
