--- a/src/request/admission/adaptiveLimit.ts
+++ b/src/request/admission/adaptiveLimit.ts
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Lowers the limit, at most once per mean run time.
+     * Lowers the limit, at most once per mean run time so that the refusals of one round count once.
      * @param running - Number of requests in flight, including the refused one.
      * @param meanRunMilliseconds - Mean run time of a request.
      * @param now - Monotonic time in milliseconds.
--- a/src/request/admission/smoothedRate.ts
+++ b/src/request/admission/smoothedRate.ts
@@ -4,8 +4,8 @@
     private perSecond = 0;
     private updatedAt: number;
 
-    private constructor(memoryMilliseconds: number, now: number) {
-        this.timeConstantMilliseconds = memoryMilliseconds;
+    private constructor(timeConstantMilliseconds: number, now: number) {
+        this.timeConstantMilliseconds = timeConstantMilliseconds;
         this.updatedAt = now;
     }
 
