--- a/src/request/claimRequest.ts
+++ b/src/request/claimRequest.ts
@@ -106,7 +106,7 @@
 }
 
 function createMalformedKeyError(): RequestError {
-    const message = "The idempotency key is not a UUID version 7. Create one for each new request.";
+    const message = "The idempotency key is not a UUID of version 7. Create one for each new request.";
     return RequestError.invalid(400, "bad_idempotency_key", message);
 }
 
