--- a/src/request/chain/chain.ts
+++ b/src/request/chain/chain.ts
@@ -1,11 +1,11 @@
-/** One endpoint's part of a chain: the layers from `layerStart` up to but not including `layerEnd`. */
+/** A stage of a chain: one endpoint runs the layers from `layerStart` up to but not including `layerEnd`. */
 export interface ChainStage {
     endpoint: string;
     layerStart: number;
     layerEnd: number;
 }
 
-/** Stages whose layer ranges tile the model from its first layer to its last, in order. */
+/** Ordered stages that together cover each layer of a model exactly once. */
 export interface Chain {
     stages: readonly ChainStage[];
 }
--- a/src/request/chain/chainChooser.ts
+++ b/src/request/chain/chainChooser.ts
@@ -2,46 +2,46 @@
 import type { Chain } from "./chain.ts";
 import type { NoChainError } from "./noChainError.ts";
 
-/** What a chain is chosen for. */
+/** Options for choosing a chain. */
 export interface ChainOptions {
     model: string;
-    /** Data centre of the choosing node. */
+    /** Data centre of the node that chooses. */
     dataCentre: string;
-    /** Positions of the first pass: the prompt, and the accepted tokens of a rebuilt context. */
+    /** Positions of the first pass: the prompt, plus the accepted tokens if the context is rebuilt. */
     positions: number;
-    /** Hash of the prompt's prefix, for cached prefixes; undefined where unknown. */
+    /** Hash of the prompt's prefix, used to find endpoints that cache it. Undefined if unknown. */
     prefixHash?: string;
     /** Endpoints that must not be chosen. */
     excluded: ReadonlySet<string>;
-    /** Endpoints to prefer where their time is close, such as the surviving stages of a broken chain. */
+    /** Endpoints to prefer if their estimated time is close to the best, such as those left of a broken chain. */
     preferred: ReadonlySet<string>;
 }
 
-/** What one pass showed of an endpoint. */
+/** Measurements of one pass at an endpoint. */
 export interface PassObservation {
     endpoint: string;
     layers: number;
     positions: number;
-    /** From sending to the result, in milliseconds. */
+    /** Time from sending the pass to its result. */
     elapsedMilliseconds: number;
-    /** Passes that waited at the endpoint when it answered. */
+    /** Number of passes that waited at the endpoint when it answered. */
     queue: number;
 }
 
-/** A load report of an endpoint, which lags. */
+/** A load report of an endpoint. Its values are delayed. */
 export interface LoadReport {
     endpoint: string;
     queue: number;
     sequences: number;
     freePositions: number;
-    /** Milliseconds between the taking of the figures and their arrival. */
+    /** Time between sampling the values and their arrival at this node. */
     ageMilliseconds: number;
 }
 
-/** Chooses chains and learns from what the node sees. All methods are synchronous and do no I/O. */
+/** Chooses chains and learns from the observations of this node. All methods are synchronous and do no I/O. */
 export interface ChainChooser {
     chooseChain(options: ChainOptions): Result<Chain, NoChainError>;
-    /** Counts a sequence as running on a chain, until {@link ChainChooser.releaseChain}. */
+    /** Counts a sequence as running on a chain until {@link ChainChooser.releaseChain} is called. */
     reserveChain(chain: Chain): void;
     releaseChain(chain: Chain): void;
     observePass(observation: PassObservation): void;
--- a/src/request/chain/chainFleet.ts
+++ b/src/request/chain/chainFleet.ts
@@ -12,10 +12,10 @@
 import type { PrefixIndex } from "./prefixIndex.ts";
 import { StepTimeEstimator } from "./stepTimeEstimator.ts";
 
-/** Endpoints whose layers are compared with their state in one decision, besides those of the model itself. */
-const endpointsCheckedPerDecision = 32;
+/** Number of endpoints whose layers are checked for changes at each choice, in turn. */
+const layerChecksPerChoice = 32;
 
-/** What the fleet reads from. */
+/** Options of a {@link ChainFleet}. */
 export interface ChainFleetOptions {
     getConfiguration: () => Configuration;
     getEndpointState: (endpoint: string) => EndpointState | undefined;
@@ -24,8 +24,8 @@
 }
 
 /**
- * The engines of the configuration in force and the layered graph of each model. Graphs are kept until the
- * configuration or the layers of an endpoint change.
+ * The engines of the configuration in force and the layered graph of each model. A graph is cached until the
+ * configuration or the layers of one of its endpoints change.
  */
 export class ChainFleet {
     private readonly options: ChainFleetOptions;
@@ -34,37 +34,37 @@
     private readonly estimator = StepTimeEstimator.create();
     private configuration: Configuration | undefined;
     private links = LinkTable.create({ dataCentres: {}, links: [] });
-    private checkOrder: EndpointRecord[] = [];
-    private nextCheck = 0;
+    private recordsToCheck: EndpointRecord[] = [];
+    private nextCheckIndex = 0;
 
     private constructor(options: ChainFleetOptions) {
         this.options = options;
     }
 
-    /** Creates the fleet; the configuration is read at the first use. */
+    /** Creates the fleet. The configuration is read on first use. */
     static create(options: ChainFleetOptions): ChainFleet {
         return new ChainFleet(options);
     }
 
-    /** Gets the record of an engine of the configuration. */
+    /** Gets the record of an engine in the configuration in force. */
     getRecord(endpoint: string): EndpointRecord | undefined {
-        this.followConfiguration();
+        this.refreshConfiguration();
         return this.records.get(endpoint);
     }
 
-    /** Gets a model's holders; undefined for an unknown model. Layers that changed are seen within some decisions. */
+    /** Gets a model's holders, or undefined if the model is unknown. Changed layers are detected within a few calls. */
     getModelHolders(model: string): ModelHolders | undefined {
-        this.followConfiguration();
-        this.checkSomeLayers();
+        this.refreshConfiguration();
+        this.checkNextLayers();
         return this.models.get(model) ?? this.buildModelHolders(model);
     }
 
     /**
-     * Computes the most positions a second that the fleet can carry now, by the learnt step times.
-     * @param nodeDataCentres - Data centres of the nodes, one entry a node.
+     * Computes an upper bound on the fleet's current throughput in positions per second, from the learned step times.
+     * @param nodeDataCentres - Data centre of each node, with one entry per node.
      */
     computeBound(nodeDataCentres: readonly string[]): number {
-        this.followConfiguration();
+        this.refreshConfiguration();
         const { configuration, links, estimator } = this;
         if (configuration === undefined) {
             return 0;
@@ -73,26 +73,26 @@
         return computeLearntBound({ configuration, links, estimator, nodeDataCentres, getModelHolders });
     }
 
-    /** Compares the layers of all endpoints with those that the graphs were built from. */
+    /** Checks the layers of all endpoints and drops the graphs whose layers changed. */
     checkAllLayers(): void {
-        for (const record of this.checkOrder) {
+        for (const record of this.recordsToCheck) {
             this.checkLayers(record);
         }
     }
 
-    /** Learns from a pass. */
+    /** Updates step times and queue length from a pass. */
     observePass(observation: PassObservation, now: number, dataCentre: string): void {
         const record = this.getRecord(observation.endpoint);
         if (record === undefined) {
             return;
         }
         const link = this.links.getLink(dataCentre, record.dataCentre);
-        const atEndpoint = Math.max(0, observation.elapsedMilliseconds - 2 * link.latencyMilliseconds);
-        this.estimator.observe(record.name, observation, atEndpoint);
+        const milliseconds = Math.max(0, observation.elapsedMilliseconds - 2 * link.latencyMilliseconds);
+        this.estimator.observe(record.name, observation, milliseconds);
         record.load.observeQueue(observation.queue, now);
     }
 
-    private followConfiguration(): void {
+    private refreshConfiguration(): void {
         const configuration = this.options.getConfiguration();
         if (configuration === this.configuration) {
             return;
@@ -111,8 +111,8 @@
         for (const [name, endpoint] of engines) {
             this.updateRecord(name, endpoint);
         }
-        this.checkOrder = [...this.records.values()];
-        this.nextCheck = 0;
+        this.recordsToCheck = [...this.records.values()];
+        this.nextCheckIndex = 0;
     }
 
     private updateRecord(name: string, endpoint: EndpointConfiguration): void {
@@ -130,15 +130,15 @@
         this.records.set(name, record);
     }
 
-    private checkSomeLayers(): void {
-        const count = Math.min(endpointsCheckedPerDecision, this.checkOrder.length);
+    private checkNextLayers(): void {
+        const count = Math.min(layerChecksPerChoice, this.recordsToCheck.length);
         for (let checked = 0; checked < count; checked++) {
-            this.nextCheck = (this.nextCheck + 1) % this.checkOrder.length;
-            this.checkLayers(this.checkOrder[this.nextCheck] as EndpointRecord);
+            this.nextCheckIndex = (this.nextCheckIndex + 1) % this.recordsToCheck.length;
+            this.checkLayers(this.recordsToCheck[this.nextCheckIndex] as EndpointRecord);
         }
     }
 
-    /** Takes over an endpoint's layers where they changed, and drops the graphs that they belonged to. */
+    /** Updates an endpoint's layers if they changed, and drops the graphs of the models concerned. */
     private checkLayers(record: EndpointRecord): void {
         if (!this.hasChangedLayers(record)) {
             return;
@@ -150,7 +150,7 @@
         record.layers = layers;
     }
 
-    /** Tells whether an endpoint holds other layers than its record says; one without a state keeps its record. */
+    /** Gets if an endpoint's layers differ from its record. False for an endpoint without a state. */
     private hasChangedLayers(record: EndpointRecord): boolean {
         const state = this.options.getEndpointState(record.name);
         return state !== undefined && !areEqualRanges(state.layers, record.layers);
@@ -162,7 +162,7 @@
             return undefined;
         }
         this.checkAllLayers();
-        const ranges = this.checkOrder.flatMap(record =>
+        const ranges = this.recordsToCheck.flatMap(record =>
             record.layers
                 .filter(range => range.model === model)
                 .map(range => ({ endpoint: record.name, start: range.start, end: range.end }))
--- a/src/request/chain/chainSearch.ts
+++ b/src/request/chain/chainSearch.ts
@@ -4,33 +4,34 @@
 import type { LayerHolder } from "./layerHolder.ts";
 
 /**
- * Shortest path over a layered graph. The node drives every hop, so what a stage costs does not depend on the stage
- * before it: one value a boundary and one a holder suffice, and a search takes (intervals x candidates) steps.
- * Keeps its working arrays between searches.
+ * Finds the shortest path in a layered graph. The activations return to the node after every stage, so the cost of a
+ * stage does not depend on the stage before it. One value per boundary and one per holder are therefore enough, and a
+ * search takes O(intervals * candidates) time. The working arrays are reused between searches.
  */
 export class ChainSearch {
     private readonly graph: LayeredGraph;
-    /** Least cost of reaching each boundary with all activations at the node. */
-    private readonly reached: Float64Array;
-    /** Holder of the last stage before each boundary. */
-    private readonly lastHolder: Int32Array;
-    /** Boundary where the last stage before each boundary starts. */
-    private readonly lastStart: Int32Array;
-    /** Least cost of having run up to the present boundary, with the activations still at the holder. */
-    private readonly running: Float64Array;
-    private readonly runningStart: Int32Array;
+    /** Lowest cost of reaching each boundary with the activations at the node. */
+    private readonly costsAtNode: Float64Array;
+    /** Holder of the last stage before each boundary, on the path with the lowest cost. */
+    private readonly lastHolders: Int32Array;
+    /** Start boundary of the last stage before each boundary. */
+    private readonly lastStarts: Int32Array;
+    /** Lowest cost of reaching the current boundary with the activations still at each holder. */
+    private readonly costsAtHolder: Float64Array;
+    /** Start boundary of each holder's current stage. */
+    private readonly stageStarts: Int32Array;
 
     private constructor(graph: LayeredGraph) {
         this.graph = graph;
-        this.reached = new Float64Array(graph.boundaries.length);
-        this.lastHolder = new Int32Array(graph.boundaries.length);
-        this.lastStart = new Int32Array(graph.boundaries.length);
-        this.running = new Float64Array(graph.holders.length);
-        this.runningStart = new Int32Array(graph.holders.length);
+        this.costsAtNode = new Float64Array(graph.boundaries.length);
+        this.lastHolders = new Int32Array(graph.boundaries.length);
+        this.lastStarts = new Int32Array(graph.boundaries.length);
+        this.costsAtHolder = new Float64Array(graph.holders.length);
+        this.stageStarts = new Int32Array(graph.holders.length);
     }
 
     /**
-     * Creates a search over one graph.
+     * Creates a search in one graph.
      * @param graph - Graph to search.
      */
     static create(graph: LayeredGraph): ChainSearch {
@@ -38,60 +39,60 @@
     }
 
     /**
-     * Finds the cheapest chain of the given holders.
+     * Finds the chain with the lowest cost.
      * @param candidates - Indices of the holders that may be used.
-     * @param costs - Costs of at least these holders.
-     * @returns The stages, or undefined where the candidates leave a layer uncovered.
+     * @param costs - Costs of the candidates. Other holders' costs are ignored.
+     * @returns The stages, or undefined if the candidates do not cover all layers.
      */
     findChain(candidates: readonly number[], costs: HolderCosts): ChainStage[] | undefined {
         for (const holder of candidates) {
-            this.running[holder] = Infinity;
+            this.costsAtHolder[holder] = Infinity;
         }
         for (let interval = 0; interval < this.graph.intervals; interval++) {
-            if (!this.advance(interval, candidates, costs)) {
+            if (!this.advanceInterval(interval, candidates, costs)) {
                 return undefined;
             }
         }
         return this.collectStages();
     }
 
-    /** Carries all candidates that hold an interval over it; false where there are none. */
-    private advance(interval: number, candidates: readonly number[], costs: HolderCosts): boolean {
-        const { graph, reached, running, runningStart } = this;
+    /** Extends the paths of all candidates that hold an interval by that interval. Returns false if there are none. */
+    private advanceInterval(interval: number, candidates: readonly number[], costs: HolderCosts): boolean {
+        const { graph, costsAtNode, costsAtHolder, stageStarts } = this;
         const isLast = interval === graph.intervals - 1;
         const layers = graph.getLayer(interval + 1) - graph.getLayer(interval);
-        const entry = reached[interval] as number;
-        let best = Infinity;
+        const entryCost = costsAtNode[interval] as number;
+        let lowestCost = Infinity;
         for (const index of candidates) {
             const holder = graph.holders[index] as LayerHolder;
             if (holder.firstInterval > interval || holder.endInterval <= interval) {
                 continue;
             }
             const transfer = costs.transfer[index] as number;
-            const entering = entry + (costs.stage[index] as number) + (interval === 0 ? 0 : transfer);
-            if (entering < (running[index] as number)) {
-                running[index] = entering;
-                runningStart[index] = interval;
+            const newStageCost = entryCost + (costs.stage[index] as number) + (interval === 0 ? 0 : transfer);
+            if (newStageCost < (costsAtHolder[index] as number)) {
+                costsAtHolder[index] = newStageCost;
+                stageStarts[index] = interval;
             }
-            const finished = (running[index] as number) + (costs.layer[index] as number) * layers;
-            running[index] = finished;
-            const leaving = isLast ? finished : finished + transfer;
-            if (leaving < best) {
-                best = leaving;
-                this.lastHolder[interval + 1] = index;
-                this.lastStart[interval + 1] = runningStart[index] as number;
+            const costAfterInterval = (costsAtHolder[index] as number) + (costs.layer[index] as number) * layers;
+            costsAtHolder[index] = costAfterInterval;
+            const costAtBoundary = isLast ? costAfterInterval : costAfterInterval + transfer;
+            if (costAtBoundary < lowestCost) {
+                lowestCost = costAtBoundary;
+                this.lastHolders[interval + 1] = index;
+                this.lastStarts[interval + 1] = stageStarts[index] as number;
             }
         }
-        reached[interval + 1] = best;
-        return best < Infinity;
+        costsAtNode[interval + 1] = lowestCost;
+        return lowestCost < Infinity;
     }
 
     private collectStages(): ChainStage[] {
         const stages: ChainStage[] = [];
         let boundary = this.graph.intervals;
         while (boundary > 0) {
-            const start = this.lastStart[boundary] as number;
-            const holder = this.graph.holders[this.lastHolder[boundary] as number] as LayerHolder;
+            const start = this.lastStarts[boundary] as number;
+            const holder = this.graph.holders[this.lastHolders[boundary] as number] as LayerHolder;
             stages.push({
                 endpoint: holder.endpoint,
                 layerStart: this.graph.getLayer(start),
--- a/src/request/chain/endpointLoad.ts
+++ b/src/request/chain/endpointLoad.ts
@@ -1,48 +1,49 @@
-/** Own starts and ends older than this are forgotten: no report lags longer, in milliseconds. */
-const longestLagMilliseconds = 10_000;
-/** Half-life of a counted failure, in milliseconds. */
+/** Maximum delay of a load report. Older starts and ends of this node's sequences are discarded. */
+const maximumReportLagMilliseconds = 10_000;
+/** Half-life of the weight of a failure. */
 const failureHalfLifeMilliseconds = 5_000;
 
-/** Weight of the newest number of waiting passes against those seen before. */
+/** Weight of a new value in the moving average of the queue length. */
 const queueWeight = 0.3;
 
+/** Start or end of a sequence of this node. */
 interface SequenceChange {
     time: number;
     change: 1 | -1;
 }
 
 /**
- * What this node knows of an endpoint's load: the last report, which lags, corrected by the sequences that this node
- * itself started and ended there since the report's figures were taken.
+ * Load of an endpoint as this node knows it: the last report, which is delayed, corrected by the sequences that this
+ * node started and ended there after the report's values were sampled.
  */
 export class EndpointLoad {
-    /** Sequences of this node that run on the endpoint. */
+    /** Number of this node's sequences that run on the endpoint. */
     private ownSequences = 0;
-    private changes: SequenceChange[] = [];
-    /** Sequences of all other nodes, at the last report. */
+    private ownSequenceChanges: SequenceChange[] = [];
+    /** Number of other nodes' sequences at the last report. */
     private otherSequences = 0;
     private queue = 0;
-    private queueTime = -Infinity;
-    /** Own sequences when the queue was seen. */
-    private ownAtQueue = 0;
+    private queueObservedAt = -Infinity;
+    /** This node's sequences at the time of the queue length. */
+    private ownSequencesAtQueueUpdate = 0;
     private freePositions = Infinity;
-    private failures = 0;
-    private failureTime = 0;
+    private decayedFailures = 0;
+    private lastFailureAt = 0;
 
     private constructor() {}
 
-    /** Creates the load of an endpoint that nothing is known of yet: idle. */
+    /** Creates the load of an endpoint that is assumed to be idle, because nothing is known about it yet. */
     static create(): EndpointLoad {
         return new EndpointLoad();
     }
 
-    /** Counts a sequence that this node starts. */
+    /** Counts a sequence that this node started. */
     addSequence(now: number): void {
         this.ownSequences++;
         this.recordChange({ time: now, change: 1 });
     }
 
-    /** Counts the end of a sequence that this node started. */
+    /** Stops counting a sequence that this node started. */
     removeSequence(now: number): void {
         if (this.ownSequences > 0) {
             this.ownSequences--;
@@ -51,65 +52,67 @@
     }
 
     /**
-     * Takes in a report.
-     * @param takenAt - Monotonic time when the figures were taken, in milliseconds.
+     * Applies a load report.
+     * @param sampledAt - Monotonic time when the values were sampled, in milliseconds.
      */
-    applyReport(report: { queue: number; sequences: number; freePositions: number; }, takenAt: number): void {
-        let ownThen = this.ownSequences;
-        for (const { time, change } of this.changes) {
-            if (time > takenAt) {
-                ownThen -= change;
+    applyReport(report: { queue: number; sequences: number; freePositions: number; }, sampledAt: number): void {
+        let ownSequencesAtSample = this.ownSequences;
+        for (const { time, change } of this.ownSequenceChanges) {
+            if (time > sampledAt) {
+                ownSequencesAtSample -= change;
             }
         }
-        this.otherSequences = Math.max(0, report.sequences - ownThen);
+        this.otherSequences = Math.max(0, report.sequences - ownSequencesAtSample);
         this.freePositions = report.freePositions;
-        if (takenAt >= this.queueTime) {
+        if (sampledAt >= this.queueObservedAt) {
             this.queue = report.queue;
-            this.queueTime = takenAt;
-            this.ownAtQueue = ownThen;
+            this.queueObservedAt = sampledAt;
+            this.ownSequencesAtQueueUpdate = ownSequencesAtSample;
         }
     }
 
-    /** Takes in the number of passes that waited just now. */
+    /** Updates the moving average of the queue length. */
     observeQueue(queue: number, now: number): void {
         this.queue = queueWeight * queue + (1 - queueWeight) * this.queue;
-        this.queueTime = now;
-        this.ownAtQueue = this.ownSequences;
+        this.queueObservedAt = now;
+        this.ownSequencesAtQueueUpdate = this.ownSequences;
     }
 
-    /** Counts a failure; its weight halves every {@link failureHalfLifeMilliseconds}. */
+    /** Adds a failure. Its weight halves every {@link failureHalfLifeMilliseconds}. */
     addFailure(now: number): void {
-        this.failures = this.getFailures(now) + 1;
-        this.failureTime = now;
+        this.decayedFailures = this.getFailures(now) + 1;
+        this.lastFailureAt = now;
     }
 
-    /** Gets the number of failures, older ones counting less. */
+    /** Gets the number of failures, weighted by their age. */
     getFailures(now: number): number {
-        return this.failures === 0
+        return this.decayedFailures === 0
             ? 0
-            : this.failures * Math.pow(0.5, (now - this.failureTime) / failureHalfLifeMilliseconds);
+            : this.decayedFailures * Math.pow(0.5, (now - this.lastFailureAt) / failureHalfLifeMilliseconds);
     }
 
-    /** Gets the sequences that run on the endpoint, as far as is known. */
+    /** Gets the estimated number of sequences that run on the endpoint. */
     getSequences(): number {
         return this.otherSequences + this.ownSequences;
     }
 
-    /** Gets the positions that fit in the endpoint's memory, as last reported. */
+    /** Gets the number of positions that fit into the endpoint's free memory, from the last report. */
     getFreePositions(): number {
         return this.freePositions;
     }
 
-    /** Gets the passes that wait at the endpoint: as last seen, and one for each sequence that was added since. */
+    /** Gets the estimated queue length: the last known value plus the sequences that this node added since. */
     getQueue(): number {
-        return this.queue + Math.max(0, this.ownSequences - this.ownAtQueue);
+        return this.queue + Math.max(0, this.ownSequences - this.ownSequencesAtQueueUpdate);
     }
 
     private recordChange(change: SequenceChange): void {
-        const oldest = this.changes[0];
-        if (oldest !== undefined && oldest.time < change.time - 2 * longestLagMilliseconds) {
-            this.changes = this.changes.filter(entry => entry.time >= change.time - longestLagMilliseconds);
+        const oldest = this.ownSequenceChanges[0];
+        if (oldest !== undefined && oldest.time < change.time - 2 * maximumReportLagMilliseconds) {
+            this.ownSequenceChanges = this.ownSequenceChanges.filter(entry =>
+                entry.time >= change.time - maximumReportLagMilliseconds
+            );
         }
-        this.changes.push(change);
+        this.ownSequenceChanges.push(change);
     }
 }
--- a/src/request/chain/endpointRecord.ts
+++ b/src/request/chain/endpointRecord.ts
@@ -1,13 +1,13 @@
 import type { LayerRange } from "../../version/configuration.ts";
 import type { EndpointLoad } from "./endpointLoad.ts";
 
-/** What the chooser keeps of one endpoint across configuration versions. */
+/** State of one endpoint that the chooser keeps across configuration versions. */
 export interface EndpointRecord {
     readonly name: string;
     readonly load: EndpointLoad;
     dataCentre: string;
-    /** Sequences that the endpoint serves at the same time. */
+    /** Maximum number of concurrent sequences at the endpoint. */
     maximumSequences: number;
-    /** Ranges that the graphs in use were built from. */
+    /** Layer ranges that the current graphs were built from. */
     layers: readonly LayerRange[];
 }
--- a/src/request/chain/estimatedTimeChooser.ts
+++ b/src/request/chain/estimatedTimeChooser.ts
@@ -9,39 +9,39 @@
 import type { NoChainError } from "./noChainError.ts";
 import { selectRandomCandidates } from "./selectRandomCandidates.ts";
 
-/** Random endpoints that a decision weighs for each interval of layers. Measured in docs/design/chains.md. */
-const choicesPerInterval = 6;
+/** Number of random candidates per interval of layers. See docs/design/chains.md. */
+const candidatesPerInterval = 6;
 import { PrefixIndex } from "./prefixIndex.ts";
 import type { SelectCandidates } from "./selectCandidates.ts";
 
-/** What an {@link EstimatedTimeChooser} works with. */
+/** Options of an {@link EstimatedTimeChooser}. */
 export interface EstimatedTimeChooserOptions {
-    /** Gets the configuration in force; a new object for each version. */
+    /** Gets the configuration in force. Each version is a new object. */
     getConfiguration: () => Configuration;
-    /** Gets what this node believes of an endpoint; an endpoint without a state is not chosen. */
+    /** Gets the state of an endpoint as this node knows it. An endpoint without a state is not chosen. */
     getEndpointState: (endpoint: string) => EndpointState | undefined;
     clock: Clock;
     random: RandomSource;
-    /** Selects the holders that a decision weighs. */
+    /** Selects the candidates of each choice. Random candidates by default. */
     selectCandidates?: SelectCandidates;
 }
 
 /**
- * Chooses the chain of least estimated time among candidates: waiting, steps, link latency, and activation bytes over
- * bandwidth, for the first pass and an expected number of tokens.
+ * Chooses the chain with the lowest estimated time among the candidates. The time includes waiting, steps, link latency
+ * and the transfer of activations, for the first pass and the expected number of tokens.
  */
 export class EstimatedTimeChooser implements ChainChooser {
     private readonly options: EstimatedTimeChooserOptions;
     private readonly prefixes = PrefixIndex.create();
     private readonly fleet: ChainFleet;
     private readonly selectCandidates: SelectCandidates;
-    /** Data centre of the node, as the last choice named it. */
+    /** Data centre of the node, from the options of the last choice. */
     private dataCentre = "";
 
     private constructor(options: EstimatedTimeChooserOptions) {
         this.options = options;
         this.fleet = ChainFleet.create({ ...options, prefixes: this.prefixes });
-        this.selectCandidates = options.selectCandidates ?? selectRandomCandidates(choicesPerInterval);
+        this.selectCandidates = options.selectCandidates ?? selectRandomCandidates(candidatesPerInterval);
     }
 
     /** Creates a chooser. */
@@ -50,21 +50,21 @@
     }
 
     /**
-     * Computes the most positions a second that the fleet can carry now, by the learnt step times.
-     * @param nodeDataCentres - Data centres of the nodes, one entry a node.
+     * Computes an upper bound on the fleet's current throughput in positions per second, from the learned step times.
+     * @param nodeDataCentres - Data centre of each node, with one entry per node.
      */
     computeBound(nodeDataCentres: readonly string[]): number {
         return this.fleet.computeBound(nodeDataCentres);
     }
 
-    /** Chooses a chain, or tells the first layer that no usable endpoint holds. */
+    /** Chooses a chain, or returns the first layer that no usable endpoint holds. */
     chooseChain(options: ChainOptions): Result<Chain, NoChainError> {
         this.dataCentre = options.dataCentre;
         const stages = this.findStages(options);
         if (stages !== undefined) {
             return Ok({ stages });
         }
-        // Layers that were not noticed yet may fill the gap.
+        // Endpoints may have loaded the missing layers since the last check.
         this.fleet.checkAllLayers();
         const found = this.findStages(options);
         return found === undefined
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Ends what {@link EstimatedTimeChooser.reserveChain} began. */
+    /** Stops counting a sequence that {@link EstimatedTimeChooser.reserveChain} counted. */
     releaseChain(chain: Chain): void {
         const now = this.options.clock.getMonotonicTime();
         for (const stage of chain.stages) {
@@ -93,15 +93,15 @@
     }
 
     observeLoad(report: LoadReport): void {
-        const takenAt = this.options.clock.getMonotonicTime() - report.ageMilliseconds;
-        this.fleet.getRecord(report.endpoint)?.load.applyReport(report, takenAt);
+        const sampledAt = this.options.clock.getMonotonicTime() - report.ageMilliseconds;
+        this.fleet.getRecord(report.endpoint)?.load.applyReport(report, sampledAt);
     }
 
     observeFailure(endpoint: string): void {
         this.fleet.getRecord(endpoint)?.load.addFailure(this.options.clock.getMonotonicTime());
     }
 
-    /** Takes in a cache event: an endpoint has stored or evicted a prompt prefix. */
+    /** Handles a cache event: an endpoint stored or evicted a prompt prefix. */
     observePrefix(endpoint: string, prefixHash: string, isStored: boolean): void {
         if (isStored) {
             this.prefixes.addPrefix(prefixHash, endpoint);
@@ -138,6 +138,6 @@
         model,
         missingLayer,
         message: `No usable endpoint holds layer ${missingLayer} of model "${model}". `
-            + "Load the layer on an endpoint that serves, or add one to the configuration.",
+            + "Load the layer on a serving endpoint, or add an endpoint to the configuration.",
     };
 }
--- a/src/request/chain/flow/computeFlowBound.ts
+++ b/src/request/chain/flow/computeFlowBound.ts
@@ -3,12 +3,13 @@
 import { FlowNetwork } from "./flowNetwork.ts";
 
 /**
- * Computes the most positions a second that the endpoints and links can carry, by maximum flow.
+ * Computes an upper bound on the positions per second that the endpoints and links can carry, by maximum flow.
  *
- * A token costs one position, and so does a position of the prompt: the bound in generated tokens is that in positions
- * times the generated part of all positions. The bound is never below what can be reached; it is above where one link
- * must carry several intervals of a model, or several models, since each of them gets the whole link.
- * @param options - Models, endpoints, links and where the nodes are.
+ * A generated token and a token of the prompt each cost one position, so the bound in generated tokens is the bound in
+ * positions multiplied by the fraction of positions that are generated. The bound is never below the throughput that
+ * can be reached. It is too high where one link carries several intervals of a model, or several models, because each
+ * of them is given the link's whole bandwidth.
+ * @param options - Models, endpoints, links and the data centres of the nodes.
  */
 export function computeFlowBound(options: FlowBoundOptions): FlowBound {
     const together = FlowNetwork.create(options);
--- a/src/request/chain/flow/computeLearntBound.ts
+++ b/src/request/chain/flow/computeLearntBound.ts
@@ -5,12 +5,12 @@
 import { computeFlowBound } from "./computeFlowBound.ts";
 import type { FlowEndpoint, FlowModel } from "./flowBoundOptions.ts";
 
-/** What the bound of the running fleet is computed from. */
-interface LearntBoundOptions {
+/** Options for computing the throughput bound of the running fleet. */
+interface FleetFlowBoundOptions {
     configuration: Configuration;
     links: LinkTable;
     estimator: StepTimeEstimator;
-    /** Data centres of the nodes, one entry a node. */
+    /** Data centre of each node, with one entry per node. */
     nodeDataCentres: readonly string[];
     getModelHolders(model: string): ModelHolders | undefined;
 }
@@ -19,11 +19,12 @@
 const millisecondsPerSecond = 1_000;
 
 /**
- * Computes the most positions a second that the serving endpoints and the links can carry, by the learnt step times: an
- * endpoint's rate is that of steps with all its sequences. Models that no chain covers now are left out.
- * @param options - The fleet.
+ * Computes an upper bound on the positions per second that the serving endpoints and the links can carry, from the
+ * learned step times. An endpoint's rate is that of steps with its maximum number of sequences. Models that the usable
+ * endpoints do not fully cover are left out.
+ * @param options - The fleet's configuration, links, step times and nodes.
  */
-export function computeLearntBound(options: LearntBoundOptions): number {
+export function computeLearntBound(options: FleetFlowBoundOptions): number {
     const { configuration, links, estimator } = options;
     const models: FlowModel[] = [];
     const endpoints = new Map<string, FlowEndpoint>();
--- a/src/request/chain/flow/flowBound.ts
+++ b/src/request/chain/flow/flowBound.ts
@@ -1,9 +1,9 @@
-/** The most that a fleet can carry. */
+/** Upper bound on the throughput of a fleet. */
 export interface FlowBound {
-    /** Positions a second over all models together, with the models' demands in the given ratios. */
+    /** Positions per second over all models together, with the models' demands in the given ratios. */
     positionsPerSecond: number;
-    /** Positions a second of each model, if it were alone. */
+    /** Positions per second of each model if it ran alone. */
     positionsPerSecondAlone: ReadonlyMap<string, number>;
-    /** For each model, interval and holder the positions a second of one flow that reaches the bound together. */
+    /** Positions per second by model, interval and holder, for one flow that reaches the bound over all models. */
     flows: ReadonlyMap<string, readonly Float64Array[]>;
 }
--- a/src/request/chain/flow/flowBoundOptions.ts
+++ b/src/request/chain/flow/flowBoundOptions.ts
@@ -1,28 +1,28 @@
 import type { LayeredGraph } from "../layeredGraph.ts";
 import type { LinkTable } from "../linkTable.ts";
 
-/** A model of a {@link FlowBoundOptions}. */
+/** A model in the options of a throughput bound. */
 export interface FlowModel {
     name: string;
     graph: LayeredGraph;
-    /** Bytes of one position's activations. */
+    /** Size of the activations of one position, in bytes. */
     hiddenBytes: number;
-    /** Part of all positions that are of this model; only the ratios between models count. */
+    /** Share of all positions that belong to this model. Only the ratios between models matter. */
     demand: number;
 }
 
-/** An endpoint of a {@link FlowBoundOptions}. */
+/** An endpoint in the options of a throughput bound. */
 export interface FlowEndpoint {
     dataCentre: string;
-    /** Positions times layers a second, at the endpoint's largest batch; shared by all it holds. */
+    /** Positions times layers per second with the endpoint's largest batch, shared by all layers that it holds. */
     rate: number;
 }
 
-/** What a throughput bound is computed from. */
+/** Options for computing a throughput bound. */
 export interface FlowBoundOptions {
     models: readonly FlowModel[];
     endpoints: ReadonlyMap<string, FlowEndpoint>;
     links: LinkTable;
-    /** Part of the requests that arrive at the nodes of each data centre; only the ratios count. */
+    /** Share of the requests that arrive at the nodes, by data centre. Only the ratios matter. */
     nodes: ReadonlyMap<string, number>;
 }
--- a/src/request/chain/flow/flowNetwork.ts
+++ b/src/request/chain/flow/flowNetwork.ts
@@ -1,17 +1,17 @@
 import type { FlowBoundOptions, FlowModel } from "./flowBoundOptions.ts";
 import { MaximumFlow } from "./maximumFlow.ts";
 
-/** Flow that falls short of the demand by less than this part meets it. */
-const tolerance = 1e-7;
+/** Relative shortfall of the flow below which the demand counts as met. */
+const relativeTolerance = 1e-7;
 const source = 0;
 const sink = 1;
 
-/** An edge into the sink, whose capacity grows with the scale. */
+/** An edge to the sink. Its capacity is proportional to the scale, the positions per second over all models. */
 interface DemandEdge {
     edge: number;
     from: number;
-    /** Capacity at scale 1. */
-    unit: number;
+    /** Capacity at a scale of 1. */
+    unitCapacity: number;
 }
 
 interface HolderEdge {
@@ -23,10 +23,11 @@
 }
 
 /**
- * The network whose maximum flow tells whether a given number of positions a second can be carried. Flow is counted in
- * positions times layers a second, so an endpoint that serves several ranges or models has one capacity, its rate:
+ * A flow network whose maximum flow shows whether a given number of positions per second can be carried. The unit of
+ * flow is positions times layers per second, so an endpoint that serves several ranges or models has a single capacity:
  * source -> endpoint -> (interval, the endpoint's data centre) -> (interval, a node's data centre) -> sink.
- * Since the node drives every hop, an interval's choice of endpoint does not bind the next one's.
+ * The activations return to the node after every stage, so the endpoint of one interval does not restrict the endpoint
+ * of the next.
  */
 export class FlowNetwork {
     private readonly options: FlowBoundOptions;
@@ -37,7 +38,7 @@
 
     private constructor(options: FlowBoundOptions) {
         this.options = options;
-        this.vertices = numberVertices(options);
+        this.vertices = createVertexNumbers(options);
         this.flow = MaximumFlow.create(this.vertices.size + 2);
         for (const [name, { rate }] of options.endpoints) {
             this.flow.addEdge(source, this.getVertex(name), rate);
@@ -50,36 +51,36 @@
         }
     }
 
-    /** Builds the network. */
+    /** Creates the network. */
     static create(options: FlowBoundOptions): FlowNetwork {
         return new FlowNetwork(options);
     }
 
     /**
-     * Finds the most positions a second by the discrete Newton method: each minimum cut below the demand gives the
-     * next, lower scale. The flow of the last step stays in the network.
+     * Finds the largest number of positions per second by the discrete Newton method: while the minimum cut is below
+     * the demand, it determines the next, lower scale. The flow of the last iteration stays in the network.
      */
     findLargestScale(): number {
-        const units = this.demands.reduce((sum, demand) => sum + demand.unit, 0);
-        const rates = [...this.options.endpoints.values()].reduce((sum, endpoint) => sum + endpoint.rate, 0);
-        let scale = units === 0 ? 0 : rates / units;
+        const totalUnitCapacity = this.demands.reduce((sum, demand) => sum + demand.unitCapacity, 0);
+        const totalRate = [...this.options.endpoints.values()].reduce((sum, endpoint) => sum + endpoint.rate, 0);
+        let scale = totalUnitCapacity === 0 ? 0 : totalRate / totalUnitCapacity;
         while (scale > 0) {
-            for (const { edge, unit } of this.demands) {
-                this.flow.setCapacity(edge, scale * unit);
+            for (const { edge, unitCapacity } of this.demands) {
+                this.flow.setCapacity(edge, scale * unitCapacity);
             }
             const carried = this.flow.run(source, sink);
-            if (carried >= scale * units * (1 - tolerance)) {
+            if (carried >= scale * totalUnitCapacity * (1 - relativeTolerance)) {
                 return scale;
             }
-            const cutUnits = this.demands
+            const cutUnitCapacity = this.demands
                 .filter(demand => this.flow.isOnSourceSide(demand.from))
-                .reduce((sum, demand) => sum + demand.unit, 0);
-            scale = Math.max(0, (carried - scale * cutUnits) / (units - cutUnits));
+                .reduce((sum, demand) => sum + demand.unitCapacity, 0);
+            scale = Math.max(0, (carried - scale * cutUnitCapacity) / (totalUnitCapacity - cutUnitCapacity));
         }
         return 0;
     }
 
-    /** Gets the positions a second by model, interval and holder of the last flow. */
+    /** Gets the positions per second of the last flow by model, interval and holder. */
     getFlows(): Map<string, Float64Array[]> {
         const flows = new Map(this.options.models.map(({ name, graph }) => [
             name,
@@ -94,39 +95,41 @@
         return flows;
     }
 
-    private addInterval(model: FlowModel, interval: number, part: number): void {
+    private addInterval(model: FlowModel, interval: number, demandFraction: number): void {
         const { graph } = model;
         const layers = graph.getLayer(interval + 1) - graph.getLayer(interval);
-        const nodes = [...this.options.nodes].filter(([, share]) => share > 0);
-        const totalShare = nodes.reduce((sum, [, share]) => sum + share, 0);
+        const nodeShares = [...this.options.nodes].filter(([, share]) => share > 0);
+        const totalShare = nodeShares.reduce((sum, [, share]) => sum + share, 0);
         const dataCentres = new Set<string>();
         for (const holder of graph.holdersOfInterval[interval] ?? []) {
             dataCentres.add(this.addHolder(model, interval, holder, layers));
         }
-        for (const [node, share] of nodes) {
-            const vertex = this.getVertex(nameNode(model.name, interval, node));
-            const unit = part * share / totalShare * layers;
-            this.demands.push({ edge: this.flow.addEdge(vertex, sink, 0), from: vertex, unit });
+        for (const [node, share] of nodeShares) {
+            const vertex = this.getVertex(getNodeVertexName(model.name, interval, node));
+            const unitCapacity = demandFraction * share / totalShare * layers;
+            this.demands.push({ edge: this.flow.addEdge(vertex, sink, 0), from: vertex, unitCapacity });
             for (const dataCentre of dataCentres) {
                 const { bytesPerMillisecond } = this.options.links.getLink(node, dataCentre);
-                const positions = model.hiddenBytes === 0 ? Infinity : bytesPerMillisecond * 1_000 / model.hiddenBytes;
+                const positionsPerSecond = model.hiddenBytes === 0
+                    ? Infinity
+                    : bytesPerMillisecond * 1_000 / model.hiddenBytes;
                 this.flow.addEdge(
-                    this.getVertex(nameGroup(model.name, interval, dataCentre)),
+                    this.getVertex(getHolderVertexName(model.name, interval, dataCentre)),
                     vertex,
-                    positions * layers,
+                    positionsPerSecond * layers,
                 );
             }
         }
     }
 
-    /** Joins a holder's endpoint to an interval; a holder of the whole model moves no activations over links. */
+    /** Connects a holder's endpoint to an interval. A holder of the whole model sends no activations over links. */
     private addHolder(model: FlowModel, interval: number, holder: number, layers: number): string {
         const { endpoint, endInterval, firstInterval } = model.graph.holders[holder] ?? { endpoint: "" };
         const dataCentre = this.options.endpoints.get(endpoint)?.dataCentre ?? "";
-        const isWhole = firstInterval === 0 && endInterval === model.graph.intervals;
-        const targets = isWhole
-            ? [...this.options.nodes.keys()].map(node => nameNode(model.name, interval, node))
-            : [nameGroup(model.name, interval, dataCentre)];
+        const holdsWholeModel = firstInterval === 0 && endInterval === model.graph.intervals;
+        const targets = holdsWholeModel
+            ? [...this.options.nodes.keys()].map(node => getNodeVertexName(model.name, interval, node))
+            : [getHolderVertexName(model.name, interval, dataCentre)];
         for (const target of targets) {
             const edge = this.flow.addEdge(this.getVertex(endpoint), this.getVertex(target), Infinity);
             this.holderEdges.push({ model: model.name, interval, holder, edge, layers });
@@ -143,22 +146,22 @@
     }
 }
 
-function numberVertices({ endpoints, models, nodes }: FlowBoundOptions): Map<string, number> {
+function createVertexNumbers({ endpoints, models, nodes }: FlowBoundOptions): Map<string, number> {
     const dataCentres = new Set([...endpoints.values()].map(endpoint => endpoint.dataCentre));
     const names = [...endpoints.keys()];
     for (const { graph, name } of models) {
         for (let interval = 0; interval < graph.intervals; interval++) {
-            names.push(...[...dataCentres].map(dataCentre => nameGroup(name, interval, dataCentre)));
-            names.push(...[...nodes.keys()].map(node => nameNode(name, interval, node)));
+            names.push(...[...dataCentres].map(dataCentre => getHolderVertexName(name, interval, dataCentre)));
+            names.push(...[...nodes.keys()].map(node => getNodeVertexName(name, interval, node)));
         }
     }
     return new Map(names.map((name, index) => [name, index + 2]));
 }
 
-function nameGroup(model: string, interval: number, dataCentre: string): string {
+function getHolderVertexName(model: string, interval: number, dataCentre: string): string {
     return `endpoints/${model}/${interval}/${dataCentre}`;
 }
 
-function nameNode(model: string, interval: number, dataCentre: string): string {
+function getNodeVertexName(model: string, interval: number, dataCentre: string): string {
     return `nodes/${model}/${interval}/${dataCentre}`;
 }
--- a/src/request/chain/flow/maximumFlow.ts
+++ b/src/request/chain/flow/maximumFlow.ts
@@ -1,25 +1,25 @@
-/** Capacity left below this part of the largest capacity counts as none: the arithmetic is in floating point. */
+/** Residual capacity below this fraction of the largest capacity counts as zero, because of rounding errors. */
 const relativeTolerance = 1e-9;
 
 /**
- * Maximum flow by Dinic's algorithm, over a directed graph whose vertices are numbered from 0.
+ * Computes maximum flows by Dinic's algorithm in a directed graph whose vertices are numbered from 0.
  * Source: Y. Dinitz, "Algorithm for solution of a problem of maximum flow in networks with power estimation", 1970.
  */
 export class MaximumFlow {
-    /** Edges leaving each vertex. The edge back from edge N is N ^ 1. */
-    private readonly edgesOf: number[][];
-    private readonly targets: number[] = [];
+    /** Edges that leave each vertex. The reverse of edge N is edge N ^ 1. */
+    private readonly edgesByVertex: number[][];
+    private readonly edgeTargets: number[] = [];
     private readonly capacities: number[] = [];
-    /** Capacity left of each edge. */
-    private residuals: number[] = [];
+    /** Residual capacity of each edge. */
+    private residualCapacities: number[] = [];
     private levels: Int32Array;
-    private nextEdge: Int32Array;
+    private nextEdges: Int32Array;
     private tolerance = 0;
 
     private constructor(vertices: number) {
-        this.edgesOf = Array.from({ length: vertices }, () => []);
+        this.edgesByVertex = Array.from({ length: vertices }, () => []);
         this.levels = new Int32Array(vertices);
-        this.nextEdge = new Int32Array(vertices);
+        this.nextEdges = new Int32Array(vertices);
     }
 
     /**
@@ -35,11 +35,11 @@
      * @returns The edge's number, for {@link MaximumFlow.getFlow}.
      */
     addEdge(from: number, to: number, capacity: number): number {
-        const edge = this.targets.length;
-        this.targets.push(to, from);
+        const edge = this.edgeTargets.length;
+        this.edgeTargets.push(to, from);
         this.capacities.push(capacity, 0);
-        this.edgesOf[from]?.push(edge);
-        this.edgesOf[to]?.push(edge + 1);
+        this.edgesByVertex[from]?.push(edge);
+        this.edgesByVertex[to]?.push(edge + 1);
         return edge;
     }
 
@@ -49,16 +49,16 @@
     }
 
     /**
-     * Finds a maximum flow, from none.
+     * Computes a maximum flow, starting from zero flow.
      * @returns The flow's value.
      */
     run(source: number, sink: number): number {
-        this.residuals = [...this.capacities];
+        this.residualCapacities = [...this.capacities];
         this.tolerance = relativeTolerance
             * this.capacities.reduce((largest, value) => value < Infinity ? Math.max(largest, value) : largest, 0);
         let total = 0;
         while (this.computeLevels(source, sink)) {
-            this.nextEdge.fill(0);
+            this.nextEdges.fill(0);
             let pushed = this.push(source, sink, Infinity);
             while (pushed > 0) {
                 total += pushed;
@@ -70,23 +70,23 @@
 
     /** Gets the flow over an edge after {@link MaximumFlow.run}. */
     getFlow(edge: number): number {
-        return this.residuals[edge ^ 1] ?? 0;
+        return this.residualCapacities[edge ^ 1] ?? 0;
     }
 
-    /** Tells whether a vertex is on the source's side of the minimum cut that the last run found. */
+    /** Gets if a vertex is on the source's side of the minimum cut that the last run found. */
     isOnSourceSide(vertex: number): boolean {
         return (this.levels[vertex] ?? -1) >= 0;
     }
 
-    /** Sets the distance of each vertex from the source over edges with capacity left; false where the sink has none. */
+    /** Sets each vertex's distance from the source in the residual graph. Returns false if the sink is unreachable. */
     private computeLevels(source: number, sink: number): boolean {
         this.levels.fill(-1);
         this.levels[source] = 0;
         const queue = [source];
         for (const vertex of queue) {
-            for (const edge of this.edgesOf[vertex] ?? []) {
-                const target = this.targets[edge] as number;
-                if (this.levels[target] === -1 && (this.residuals[edge] as number) > this.tolerance) {
+            for (const edge of this.edgesByVertex[vertex] ?? []) {
+                const target = this.edgeTargets[edge] as number;
+                if (this.levels[target] === -1 && (this.residualCapacities[edge] as number) > this.tolerance) {
                     this.levels[target] = (this.levels[vertex] as number) + 1;
                     queue.push(target);
                 }
@@ -95,28 +95,28 @@
         return this.levels[sink] !== -1;
     }
 
-    /** Pushes flow along one path of rising levels. */
+    /** Pushes flow along one path on which the level rises by one at each edge. */
     private push(vertex: number, sink: number, limit: number): number {
         if (vertex === sink) {
             return limit;
         }
-        const edges = this.edgesOf[vertex] as number[];
-        for (let next = this.nextEdge[vertex] as number; next < edges.length; next++) {
-            this.nextEdge[vertex] = next;
+        const edges = this.edgesByVertex[vertex] as number[];
+        for (let next = this.nextEdges[vertex] as number; next < edges.length; next++) {
+            this.nextEdges[vertex] = next;
             const edge = edges[next] as number;
-            const target = this.targets[edge] as number;
-            const residual = this.residuals[edge] as number;
+            const target = this.edgeTargets[edge] as number;
+            const residual = this.residualCapacities[edge] as number;
             if (residual <= this.tolerance || this.levels[target] !== (this.levels[vertex] as number) + 1) {
                 continue;
             }
             const pushed = this.push(target, sink, Math.min(limit, residual));
             if (pushed > 0) {
-                this.residuals[edge] = residual - pushed;
-                this.residuals[edge ^ 1] = (this.residuals[edge ^ 1] as number) + pushed;
+                this.residualCapacities[edge] = residual - pushed;
+                this.residualCapacities[edge ^ 1] = (this.residualCapacities[edge ^ 1] as number) + pushed;
                 return pushed;
             }
         }
-        this.nextEdge[vertex] = edges.length;
+        this.nextEdges[vertex] = edges.length;
         return 0;
     }
 }
--- a/src/request/chain/holderCosts.ts
+++ b/src/request/chain/holderCosts.ts
@@ -1,8 +1,8 @@
-/** Estimated costs of a model's holders, by holder index, in milliseconds over the whole request. */
+/** Estimated costs of a model's holders by holder index, in milliseconds over the whole request. */
 export interface HolderCosts {
-    /** Cost of a stage whatever its layers: waiting and latency. */
+    /** Cost of a stage regardless of its number of layers: waiting, latency and the fixed fraction of a step. */
     stage: Float64Array;
-    /** Cost of moving activations one way; not paid before the first layer nor after the last. */
+    /** Cost of transferring the activations one way. Not charged before the first layer or after the last. */
     transfer: Float64Array;
     /** Cost of one layer. */
     layer: Float64Array;
--- a/src/request/chain/layerHolder.ts
+++ b/src/request/chain/layerHolder.ts
@@ -1,8 +1,11 @@
-/** An endpoint's run of intervals in a layered graph, from `firstInterval` up to but not including `endInterval`. */
+/**
+ * Contiguous intervals of a layered graph that one endpoint holds, from `firstInterval` up to but not including
+ * `endInterval`.
+ */
 export interface LayerHolder {
     endpoint: string;
     firstInterval: number;
     endInterval: number;
-    /** Layers of the whole run. */
+    /** Number of layers in these intervals. */
     layers: number;
 }
--- a/src/request/chain/layeredGraph.ts
+++ b/src/request/chain/layeredGraph.ts
@@ -1,6 +1,6 @@
 import type { LayerHolder } from "./layerHolder.ts";
 
-/** A layer range that an endpoint holds of the graph's model. */
+/** A range of the model's layers that an endpoint holds, from `start` up to but not including `end`. */
 export interface HeldRange {
     endpoint: string;
     start: number;
@@ -9,14 +9,14 @@
 
 /**
  * The layered graph of one model. Its vertices are the layer boundaries: the starts and ends of all held ranges.
- * The layers between two neighbouring boundaries are an interval; a stage is a run of intervals on one holder, so an
- * endpoint that holds layers 0 to 16 may serve 4 to 16 where 4 is a boundary. Never changes after its creation.
+ * The layers between two adjacent boundaries form an interval. A stage consists of consecutive intervals on one holder,
+ * so an endpoint that holds layers 0 to 16 may serve layers 4 to 16 if 4 is a boundary. The graph is immutable.
  */
 export class LayeredGraph {
-    /** Layer numbers, ascending, from 0 to the model's number of layers. */
+    /** Layer numbers in ascending order, from 0 to the model's number of layers. */
     readonly boundaries: readonly number[];
     readonly holders: readonly LayerHolder[];
-    /** For each interval, the indices of the holders that hold it. */
+    /** Indices of the holders of each interval. */
     readonly holdersOfInterval: readonly (readonly number[])[];
 
     private constructor(boundaries: readonly number[], holders: readonly LayerHolder[]) {
@@ -30,38 +30,38 @@
     }
 
     /**
-     * Builds the graph.
+     * Creates the graph.
      * @param layers - Number of layers of the model.
-     * @param ranges - Ranges that endpoints hold, in any order; those of one endpoint may touch or overlap.
+     * @param ranges - Ranges that the endpoints hold, in any order. Ranges of one endpoint may be adjacent or overlap.
      */
     static create(layers: number, ranges: readonly HeldRange[]): LayeredGraph {
         const merged = mergeRanges(layers, ranges);
         const layerNumbers = new Set([0, layers, ...merged.flatMap(range => [range.start, range.end])]);
         const boundaries = [...layerNumbers].sort((a, b) => a - b);
-        const intervalOf = new Map(boundaries.map((layer, index) => [layer, index]));
+        const boundaryIndices = new Map(boundaries.map((layer, index) => [layer, index]));
         const holders = merged.map(range => ({
             endpoint: range.endpoint,
-            firstInterval: intervalOf.get(range.start) ?? 0,
-            endInterval: intervalOf.get(range.end) ?? 0,
+            firstInterval: boundaryIndices.get(range.start) ?? 0,
+            endInterval: boundaryIndices.get(range.end) ?? 0,
             layers: range.end - range.start,
         }));
         return new LayeredGraph(boundaries, holders);
     }
 
-    /** Number of intervals. */
+    /** Gets the number of intervals. */
     get intervals(): number {
         return this.boundaries.length - 1;
     }
 
-    /** Gets the layer at a boundary. */
+    /** Gets the layer number at a boundary. */
     getLayer(boundary: number): number {
         return this.boundaries[boundary] ?? 0;
     }
 
     /**
-     * Finds the first layer that no usable holder holds.
-     * @param isUsable - Tells by a holder's index whether it may be used.
-     * @returns The layer, or undefined where all layers are held.
+     * Finds the first layer without a usable holder.
+     * @param isUsable - Gets if the holder with the given index may be used.
+     * @returns The layer, or undefined if there is no such layer.
      */
     findMissingLayer(isUsable: (holder: number) => boolean): number | undefined {
         for (const [interval, holders] of this.holdersOfInterval.entries()) {
@@ -73,14 +73,14 @@
     }
 }
 
-/** Cuts ranges to the model and joins those of one endpoint that touch or overlap. */
+/** Clips ranges to the model's layers and merges adjacent or overlapping ranges of the same endpoint. */
 function mergeRanges(layers: number, ranges: readonly HeldRange[]): HeldRange[] {
-    const cut = ranges
+    const clipped = ranges
         .map(range => ({ ...range, start: Math.max(0, range.start), end: Math.min(layers, range.end) }))
         .filter(range => range.start < range.end)
         .sort((a, b) => a.endpoint < b.endpoint ? -1 : a.endpoint > b.endpoint ? 1 : a.start - b.start);
     const merged: HeldRange[] = [];
-    for (const range of cut) {
+    for (const range of clipped) {
         const last = merged.at(-1);
         if (last?.endpoint === range.endpoint && range.start <= last.end) {
             last.end = Math.max(last.end, range.end);
--- a/src/request/chain/link.ts
+++ b/src/request/chain/link.ts
@@ -1,7 +1,7 @@
-/** What a link between two data centres gives. */
+/** Latency and bandwidth of a link between two data centres. */
 export interface Link {
-    /** One way, in milliseconds. */
+    /** One-way latency. */
     latencyMilliseconds: number;
-    /** Bandwidth each way, in bytes a millisecond. */
+    /** Bandwidth in each direction. */
     bytesPerMillisecond: number;
 }
--- a/src/request/chain/linkTable.ts
+++ b/src/request/chain/linkTable.ts
@@ -1,13 +1,13 @@
 import type { Configuration } from "../../version/configuration.ts";
 import type { Link } from "./link.ts";
 
-/** Link inside a data centre where the configuration names none: 0.1 ms, 1,250 megabytes a second. */
-const localLink: Link = { latencyMilliseconds: 0.1, bytesPerMillisecond: 1_250_000 };
-/** Link between data centres that no configured link joins, also over others: 100 ms, 10 megabytes a second. */
-const unknownLink: Link = { latencyMilliseconds: 100, bytesPerMillisecond: 10_000 };
+/** Link inside a data centre, if none is configured: 0.1 ms and 1,250 MB/s. */
+const defaultLocalLink: Link = { latencyMilliseconds: 0.1, bytesPerMillisecond: 1_250_000 };
+/** Link between data centres that no path of configured links connects: 100 ms and 10 MB/s. */
+const defaultRemoteLink: Link = { latencyMilliseconds: 100, bytesPerMillisecond: 10_000 };
 
 /**
- * The links between data centres, with pairs that have no link of their own joined over the quickest others.
+ * The links between data centres. A pair without a configured link uses the path of links with the lowest latency.
  * Built once for each configuration version.
  */
 export class LinkTable {
@@ -18,12 +18,12 @@
     }
 
     /**
-     * Builds the table.
-     * @param configuration - Configuration whose data centres and links count.
+     * Creates the table.
+     * @param configuration - Data centres and links.
      */
     static create(configuration: Pick<Configuration, "dataCentres" | "links">): LinkTable {
         const names = Object.keys(configuration.dataCentres);
-        const links = new Map(names.map(name => [name, new Map([[name, localLink]])]));
+        const links = new Map(names.map(name => [name, new Map([[name, defaultLocalLink]])]));
         for (const link of configuration.links) {
             const entry = {
                 latencyMilliseconds: link.latencyMilliseconds,
@@ -32,19 +32,19 @@
             links.get(link.from)?.set(link.to, entry);
             links.get(link.to)?.set(link.from, entry);
         }
-        joinOverOthers(names, links);
+        addMultiHopLinks(names, links);
         return new LinkTable(links);
     }
 
     /** Gets the link between two data centres. */
     getLink(from: string, to: string): Link {
-        return this.links.get(from)?.get(to) ?? unknownLink;
+        return this.links.get(from)?.get(to) ?? defaultRemoteLink;
     }
 }
 
-/** Fills in missing pairs by the Floyd-Warshall algorithm on latency; the narrowest part gives the bandwidth. */
-function joinOverOthers(names: readonly string[], links: ReadonlyMap<string, Map<string, Link>>): void {
-    const joined = new Set<string>();
+/** Adds missing pairs with the Floyd-Warshall algorithm on latency. A path's bandwidth is that of its slowest link. */
+function addMultiHopLinks(names: readonly string[], links: ReadonlyMap<string, Map<string, Link>>): void {
+    const multiHopPairs = new Set<string>();
     for (const middle of names) {
         for (const from of names) {
             const first = links.get(from)?.get(middle);
@@ -53,15 +53,15 @@
             }
             for (const to of names) {
                 const second = links.get(middle)?.get(to);
-                const present = links.get(from)?.get(to);
-                if (second === undefined || to === middle || (present && !joined.has(`${from}/${to}`))) {
+                const existing = links.get(from)?.get(to);
+                if (second === undefined || to === middle || (existing && !multiHopPairs.has(`${from}/${to}`))) {
                     continue;
                 }
                 const latencyMilliseconds = first.latencyMilliseconds + second.latencyMilliseconds;
-                if (present === undefined || latencyMilliseconds < present.latencyMilliseconds) {
+                if (existing === undefined || latencyMilliseconds < existing.latencyMilliseconds) {
                     const bytesPerMillisecond = Math.min(first.bytesPerMillisecond, second.bytesPerMillisecond);
                     links.get(from)?.set(to, { latencyMilliseconds, bytesPerMillisecond });
-                    joined.add(`${from}/${to}`);
+                    multiHopPairs.add(`${from}/${to}`);
                 }
             }
         }
--- a/src/request/chain/modelHolders.ts
+++ b/src/request/chain/modelHolders.ts
@@ -12,29 +12,30 @@
 import type { PrefixIndex } from "./prefixIndex.ts";
 import type { StepTimeEstimator } from "./stepTimeEstimator.ts";
 
-/** Tokens that a request is expected to generate; weighs the time between tokens against that to the first one. */
-const expectedTokens = 64;
+/** Expected number of generated tokens. Weighs the time between tokens against the time to the first token. */
+const expectedOutputTokens = 64;
 /**
- * Part of a whole step that a stage is charged whatever its layers: one step serves passes over different parts of an
- * endpoint's range, so that a pass over a part takes room from whole ones. Measured in docs/design/chains.md.
+ * Fraction of the endpoint's full step that a stage costs regardless of its number of layers. One step serves passes
+ * over different parts of the endpoint's range, so a pass over a part takes capacity from passes over the full range.
+ * See docs/design/chains.md.
  */
-const wholeStepPart = 0.9;
-/** Part of the estimated time that a preferred endpoint is charged. */
-const preferredPart = 0.8;
-/** Part of the prompt's time that an endpoint is charged that holds its prefix. */
-const cachedPart = 0.5;
-/** Charge for each pass for one recent failure, in milliseconds. */
-const failureMilliseconds = 200;
-/** Charge for each pass where the endpoint's memory or sequences are used up, in milliseconds. */
-const fullMilliseconds = 200;
+const fullStepFraction = 0.9;
+/** Factor on the cost of a preferred endpoint. */
+const preferredCostFactor = 0.8;
+/** Factor on the prompt's positions for an endpoint that caches the prompt's prefix. */
+const cachedPrefixCostFactor = 0.5;
+/** Penalty per pass for each recent failure. */
+const failurePenaltyMilliseconds = 200;
+/** Penalty per pass if the endpoint has no free sequence or too little free memory. */
+const fullPenaltyMilliseconds = 200;
 
-/** What a model's holders are built from. */
+/** Options for creating a {@link ModelHolders}. */
 export interface ModelHoldersOptions {
     model: string;
     graph: LayeredGraph;
-    /** Record of each holder's endpoint, by holder index. */
+    /** Records of the holders' endpoints, by holder index. */
     records: readonly EndpointRecord[];
-    /** Bytes of one position's activations. */
+    /** Size of the activations of one position, in bytes. */
     hiddenBytes: number;
     links: LinkTable;
     estimator: StepTimeEstimator;
@@ -43,7 +44,7 @@
     getEndpointState: (endpoint: string) => EndpointState | undefined;
 }
 
-/** The holders of one model's layers with their estimated costs. */
+/** The endpoints that hold layers of one model, with their estimated costs. */
 export class ModelHolders {
     readonly model: string;
     readonly graph: LayeredGraph;
@@ -51,10 +52,10 @@
     readonly search: ChainSearch;
     readonly costs: HolderCosts;
     private readonly options: ModelHoldersOptions;
-    /** Data centre that {@link ModelHolders.linkOf} was computed for: that of the node. */
+    /** Data centre of the node, for which {@link ModelHolders.linksByHolder} was computed. */
     private dataCentre: string | undefined;
-    /** Link between the node and each holder. */
-    private linkOf: readonly Link[] = [];
+    /** Links between the node and the holders, by holder index. */
+    private linksByHolder: readonly Link[] = [];
 
     private constructor(options: ModelHoldersOptions) {
         this.options = options;
@@ -70,12 +71,12 @@
         };
     }
 
-    /** Creates the holders of a graph. */
+    /** Creates the holders of a model. */
     static create(options: ModelHoldersOptions): ModelHolders {
         return new ModelHolders(options);
     }
 
-    /** Tells whether a holder's endpoint serves, still holds the layers of the graph, and is not excluded. */
+    /** Gets if a holder's endpoint is serving, is not excluded, and still holds the layers in the graph. */
     isUsable(index: number, excluded: ReadonlySet<string>): boolean {
         const { layers, name } = this.records[index] as EndpointRecord;
         const state = this.options.getEndpointState(name);
@@ -83,22 +84,24 @@
     }
 
     /**
-     * Estimates the costs of some holders.
+     * Updates the estimated costs of the given holders.
      * @param candidates - Indices of the holders.
-     * @param options - What the chain is for.
-     * @param now - Monotonic time in milliseconds.
+     * @param options - Options of the choice.
+     * @param now - Monotonic time, in milliseconds.
      */
     estimateCosts(candidates: readonly number[], options: ChainOptions, now: number): void {
         if (options.dataCentre !== this.dataCentre) {
             this.dataCentre = options.dataCentre;
-            this.linkOf = this.records.map(record => this.options.links.getLink(options.dataCentre, record.dataCentre));
+            this.linksByHolder = this.records.map(record =>
+                this.options.links.getLink(options.dataCentre, record.dataCentre)
+            );
         }
         const cached = options.prefixHash === undefined
             ? undefined
             : this.options.prefixes.getEndpoints(options.prefixHash);
         for (const index of candidates) {
             const { name } = this.records[index] as EndpointRecord;
-            const positions = options.positions * (cached?.has(name) ? cachedPart : 1);
+            const positions = options.positions * (cached?.has(name) ? cachedPrefixCostFactor : 1);
             this.estimateCost(index, options, positions, now);
         }
     }
@@ -107,23 +110,25 @@
         const record = this.records[index] as EndpointRecord;
         const { layers } = this.graph.holders[index] as LayerHolder;
         const step = this.options.estimator.getEstimate(record.name);
-        const link = this.linkOf[index] as Link;
-        const part = options.preferred.has(record.name) ? preferredPart : 1;
-        const decode = step.decodeMilliseconds * (1 + step.uncertainty * (2 * this.options.random() - 1));
-        const pass = step.waitMilliseconds * record.load.getQueue()
+        const link = this.linksByHolder[index] as Link;
+        const costFactor = options.preferred.has(record.name) ? preferredCostFactor : 1;
+        const decodeMilliseconds = step.decodeMilliseconds * (1 + step.uncertainty * (2 * this.options.random() - 1));
+        const passMilliseconds = step.waitMilliseconds * record.load.getQueue()
             + 2 * link.latencyMilliseconds
-            + getPenalty(record, positions, now);
-        this.costs.stage[index] = part
-            * ((expectedTokens + 1) * pass + expectedTokens * wholeStepPart * decode * layers);
-        this.costs.transfer[index] = part
-            * (options.positions + expectedTokens) * this.options.hiddenBytes / link.bytesPerMillisecond;
-        this.costs.layer[index] = part
-            * (expectedTokens * (1 - wholeStepPart) * decode + positions * step.prefillMilliseconds);
+            + getPenaltyMilliseconds(record, positions, now);
+        this.costs.stage[index] = costFactor
+            * ((expectedOutputTokens + 1) * passMilliseconds
+                + expectedOutputTokens * fullStepFraction * decodeMilliseconds * layers);
+        this.costs.transfer[index] = costFactor
+            * (options.positions + expectedOutputTokens) * this.options.hiddenBytes / link.bytesPerMillisecond;
+        this.costs.layer[index] = costFactor
+            * (expectedOutputTokens * (1 - fullStepFraction) * decodeMilliseconds
+                + positions * step.prefillMilliseconds);
     }
 }
 
-/** Gets what each pass is charged for an endpoint that fails or is full, in milliseconds. */
-function getPenalty({ load, maximumSequences }: EndpointRecord, positions: number, now: number): number {
+/** Gets the penalty per pass for an endpoint that failed recently or is full. */
+function getPenaltyMilliseconds({ load, maximumSequences }: EndpointRecord, positions: number, now: number): number {
     const isFull = load.getSequences() >= maximumSequences || load.getFreePositions() < positions;
-    return load.getFailures(now) * failureMilliseconds + (isFull ? fullMilliseconds : 0);
+    return load.getFailures(now) * failurePenaltyMilliseconds + (isFull ? fullPenaltyMilliseconds : 0);
 }
--- a/src/request/chain/noChainError.ts
+++ b/src/request/chain/noChainError.ts
@@ -1,4 +1,4 @@
-/** No chain of usable endpoints covers the model. */
+/** Error if no chain of usable endpoints covers the model. */
 export interface NoChainError {
     kind: "noChain";
     model: string;
--- a/src/request/chain/prefixIndex.ts
+++ b/src/request/chain/prefixIndex.ts
@@ -1,11 +1,11 @@
 import { LRUCache } from "lru-cache";
 
-/** Prompt prefixes that are remembered. */
+/** Maximum number of prompt prefixes in the index. */
 const maximumPrefixes = 10_000;
 
-/** Which endpoints are believed to hold which prompt prefixes. A hint only: cache events come late and with gaps. */
+/** Maps prompt prefixes to the endpoints that cache them. Only a hint, because cache events may be late or missing. */
 export class PrefixIndex {
-    private readonly endpointsOf = new LRUCache<string, Set<string>>({ max: maximumPrefixes });
+    private readonly endpointsByPrefixHash = new LRUCache<string, Set<string>>({ max: maximumPrefixes });
 
     private constructor() {}
 
@@ -14,20 +14,20 @@
         return new PrefixIndex();
     }
 
-    /** Remembers that an endpoint holds a prefix. */
+    /** Adds an endpoint that caches a prefix. */
     addPrefix(prefixHash: string, endpoint: string): void {
-        const endpoints = this.endpointsOf.get(prefixHash) ?? new Set();
+        const endpoints = this.endpointsByPrefixHash.get(prefixHash) ?? new Set();
         endpoints.add(endpoint);
-        this.endpointsOf.set(prefixHash, endpoints);
+        this.endpointsByPrefixHash.set(prefixHash, endpoints);
     }
 
-    /** Forgets that an endpoint holds a prefix. */
+    /** Removes an endpoint that no longer caches a prefix. */
     removePrefix(prefixHash: string, endpoint: string): void {
-        this.endpointsOf.get(prefixHash)?.delete(endpoint);
+        this.endpointsByPrefixHash.get(prefixHash)?.delete(endpoint);
     }
 
-    /** Gets the endpoints that are believed to hold a prefix. */
+    /** Gets the endpoints that probably cache a prefix. */
     getEndpoints(prefixHash: string): ReadonlySet<string> | undefined {
-        return this.endpointsOf.get(prefixHash);
+        return this.endpointsByPrefixHash.get(prefixHash);
     }
 }
--- a/src/request/chain/selectCandidates.ts
+++ b/src/request/chain/selectCandidates.ts
@@ -2,11 +2,11 @@
 import type { ModelHolders } from "./modelHolders.ts";
 
 /**
- * Selects the holders that one decision weighs.
+ * Selects the candidates of one choice.
  * @param holders - Holders of the model.
- * @param isUsable - Tells by a holder's index whether it may be chosen.
- * @param random - Source of the draws.
- * @returns Indices of usable holders, without repeats. Where they leave a layer uncovered, all usable ones are weighed.
+ * @param isUsable - Gets if the holder with the given index may be chosen.
+ * @param random - Source of random numbers.
+ * @returns Distinct indices of usable holders. If they leave a layer uncovered, the caller tries all usable holders.
  */
 export type SelectCandidates = (
     holders: ModelHolders,
--- a/src/request/chain/stepTimeEstimate.ts
+++ b/src/request/chain/stepTimeEstimate.ts
@@ -1,11 +1,11 @@
-/** What is believed of an endpoint's step times. */
+/** Estimated step times of an endpoint. */
 export interface StepTimeEstimate {
-    /** One layer of a step that carries decode positions, without waiting, in milliseconds. */
+    /** Time of a decode step for one layer, without waiting. */
     decodeMilliseconds: number;
-    /** One prompt position through one layer, in milliseconds. */
+    /** Time of one prompt position in one layer. */
     prefillMilliseconds: number;
-    /** Wait of a pass for each pass that waits at the endpoint already, in milliseconds. */
+    /** Wait of a pass for each pass that is already queued at the endpoint. */
     waitMilliseconds: number;
-    /** Relative uncertainty of the decode time: at 0.5 it may well be half as long again, or half as long. */
+    /** Relative uncertainty of the decode time. At 0.5, the actual time may be 50% higher or lower. */
     uncertainty: number;
 }
--- a/src/request/chain/stepTimes.ts
+++ b/src/request/chain/stepTimes.ts
@@ -1,27 +1,27 @@
 import type { StepTimeEstimate } from "./stepTimeEstimate.ts";
 
-/** Weight of a decode time below the present estimate: steps without waiting are soon believed. */
-const fasterWeight = 0.1;
-/** Weight of a decode time above the present estimate: most of them contain waiting. */
-const slowerWeight = 0.001;
-/** Weight of a new value in the averages of waiting and of prompt passes. */
+/** Weight of a decode time below the current estimate. High, so that passes without waiting are adopted quickly. */
+const fasterDecodeWeight = 0.1;
+/** Weight of a decode time above the current estimate. Low, because most of these times include waiting. */
+const slowerDecodeWeight = 0.001;
+/** Weight of a new value in the moving averages of queue lengths, waits and prefill times. */
 const averageWeight = 0.03;
-/** Least average number of waiting passes from which the wait for one can be told. */
-const leastQueue = 0.2;
+/** Average queue length below which the wait per waiting pass cannot be estimated. */
+const minimumAverageQueueLength = 0.2;
 
-/** What was learnt of one endpoint's step times. */
+/** Step times learned for one endpoint. */
 export class StepTimes {
     readonly accelerator: string;
-    /** Milliseconds of a decode step for one layer; undefined where neither configured nor observed. */
+    /** Time of a decode step for one layer. Undefined if it is neither configured nor observed. */
     decodeMilliseconds: number | undefined;
-    /** Milliseconds of one prompt position through one layer; undefined where not observed. */
+    /** Time of one prompt position in one layer. Undefined if it was not observed. */
     prefillMilliseconds: number | undefined;
-    /** Number of decode passes seen. */
-    observations = 0;
-    /** Average wait of decode passes, in milliseconds. */
-    private wait = 0;
-    /** Average number of passes that waited. */
-    private queue = 0;
+    /** Number of observed decode passes. */
+    decodeObservations = 0;
+    /** Moving average of the time that decode passes waited. */
+    private averageWaitMilliseconds = 0;
+    /** Moving average of the number of waiting passes. */
+    private averageQueueLength = 0;
 
     private constructor(accelerator: string, decodeMilliseconds: number | undefined) {
         this.accelerator = accelerator;
@@ -29,43 +29,47 @@
     }
 
     /**
-     * Creates the step times of an endpoint that was not observed yet.
-     * @param accelerator - Kind of accelerator; empty where unknown.
-     * @param decodeMilliseconds - Configured time of one layer, in milliseconds.
+     * Creates the step times of an endpoint without observations.
+     * @param accelerator - Kind of accelerator, or an empty string if unknown.
+     * @param decodeMilliseconds - Configured decode time of one layer, if any.
      */
     static create(accelerator: string, decodeMilliseconds: number | undefined): StepTimes {
         return new StepTimes(accelerator, decodeMilliseconds);
     }
 
-    /** Learns from a decode pass; `milliseconds` is its time at the endpoint. */
+    /** Updates the estimate from a decode pass that spent the given time at the endpoint. */
     observeDecode(layers: number, milliseconds: number, queue: number): void {
-        const time = milliseconds / layers;
-        const present = this.decodeMilliseconds ?? time;
-        const decode = present + (time - present) * (time < present ? fasterWeight : slowerWeight);
+        const layerMilliseconds = milliseconds / layers;
+        const previous = this.decodeMilliseconds ?? layerMilliseconds;
+        const decode = previous
+            + (layerMilliseconds - previous) * (layerMilliseconds < previous ? fasterDecodeWeight : slowerDecodeWeight);
         this.decodeMilliseconds = decode;
-        this.observations++;
-        this.wait += (Math.max(0, milliseconds - decode * layers) - this.wait) * averageWeight;
-        this.queue += (queue - this.queue) * averageWeight;
+        this.decodeObservations++;
+        this.averageWaitMilliseconds += (Math.max(0, milliseconds - decode * layers) - this.averageWaitMilliseconds)
+            * averageWeight;
+        this.averageQueueLength += (queue - this.averageQueueLength) * averageWeight;
     }
 
-    /** Learns from a prompt pass; `milliseconds` is its time at the endpoint. */
+    /** Updates the estimate from a prompt pass that spent the given time at the endpoint. */
     observePrefill(layers: number, positions: number, milliseconds: number): void {
-        const time = milliseconds / (layers * positions);
-        const present = this.prefillMilliseconds ?? time;
-        this.prefillMilliseconds = present + (time - present) * averageWeight;
+        const positionMilliseconds = milliseconds / (layers * positions);
+        const previous = this.prefillMilliseconds ?? positionMilliseconds;
+        this.prefillMilliseconds = previous + (positionMilliseconds - previous) * averageWeight;
     }
 
     /**
      * Gets the estimate.
-     * @param fallback - Median of the endpoint's kind, for what was not learnt.
+     * @param fallback - Estimate for the endpoint's kind of accelerator, used for values that were not learned.
      */
     getEstimate(fallback: Readonly<StepTimeEstimate>): StepTimeEstimate {
         const decodeMilliseconds = this.decodeMilliseconds ?? fallback.decodeMilliseconds;
         return {
             decodeMilliseconds,
             prefillMilliseconds: this.prefillMilliseconds ?? fallback.prefillMilliseconds,
-            waitMilliseconds: this.queue < leastQueue ? fallback.waitMilliseconds : this.wait / this.queue,
-            uncertainty: fallback.uncertainty / (1 + this.observations),
+            waitMilliseconds: this.averageQueueLength < minimumAverageQueueLength
+                ? fallback.waitMilliseconds
+                : this.averageWaitMilliseconds / this.averageQueueLength,
+            uncertainty: fallback.uncertainty / (1 + this.decodeObservations),
         };
     }
 }
--- a/src/request/document/handleDocument.ts
+++ b/src/request/document/handleDocument.ts
@@ -11,26 +11,26 @@
 import { settleOnThrow } from "../settleOnThrow.ts";
 import { runDocumentCall } from "./runDocumentCall.ts";
 
-/** A caller's HTTP call to a document service. */
+/** HTTP call of a caller to a document service. */
 export interface DocumentRequest {
     service: string;
     method: string;
     /** Path and query after the service's name, with the leading slash. */
     path: string;
-    /** Headers that the service gets. */
+    /** Headers to forward to the service. */
     headers: Record<string, string>;
     body: Buffer;
 }
 
 const safeMethods: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS"]);
-const documentCost = 1;
+const documentCallCost = 1;
 
 /**
- * Answers `/v1/services/NAME/...`.
- * @param environment - Parts of the process.
- * @param context - The request.
- * @param request - The call.
- * @param writer - Takes the final answer, unless an error is returned.
+ * Handles a request to `/v1/services/NAME/...`.
+ * @param environment - Shared services of the process.
+ * @param context - Context of the request.
+ * @param request - Call to the document service.
+ * @param writer - Writes the final answer, unless an error is returned.
  */
 export async function handleDocument(
     environment: RequestEnvironment,
@@ -42,7 +42,7 @@
     if (!service.ok) {
         return service;
     }
-    const ticket = await admitRequest(environment, context, request.service, documentCost);
+    const ticket = await admitRequest(environment, context, request.service, documentCallCost);
     if (!ticket.ok) {
         return ticket;
     }
@@ -50,7 +50,7 @@
         return await runAdmitted(environment, context, request, service.val, writer);
     }
     finally {
-        ticket.val.release({ tokens: documentCost });
+        ticket.val.release({ tokens: documentCallCost });
     }
 }
 
--- a/src/request/document/runDocumentCall.ts
+++ b/src/request/document/runDocumentCall.ts
@@ -8,17 +8,17 @@
 import type { RequestEnvironment } from "../requestEnvironment.ts";
 import { RequestError } from "../requestError.ts";
 
-const maximumSends = 3;
-const refusalRetryMilliseconds = 1_000;
-const noEndpointRetryMilliseconds = 2_000;
+const maximumAttempts = 3;
+const refusalRetryAfterMilliseconds = 1_000;
+const noEndpointRetryAfterMilliseconds = 2_000;
 
 /**
- * Runs a document call at one of the service's endpoints. A call that surely did not run goes on to the next endpoint;
- * one that may have run is repeated only if it is idempotent and the retry budget allows.
- * @param environment - Parts of the process.
- * @param context - The request.
- * @param service - The service.
- * @param call - The call.
+ * Sends a document call to one of the service's endpoints. A call that did not run fails over to another endpoint. A
+ * call that may have run is retried only if it is idempotent. The retry budget limits all retries.
+ * @param environment - Shared services of the process.
+ * @param context - Context of the request.
+ * @param service - Configuration of the service.
+ * @param call - Call to send.
  */
 export async function runDocumentCall(
     environment: RequestEnvironment,
@@ -29,9 +29,9 @@
     const { retryBudget, clock, metrics } = environment;
     const tried = new Set<string>();
     let mayHaveRun = false;
-    let lastMessage = "No endpoint of the service takes new work now.";
+    let lastMessage = "No endpoint of the service accepts new work at the moment.";
     retryBudget.observeRequest();
-    while (tried.size < maximumSends) {
+    while (tried.size < maximumAttempts) {
         const endpoint = chooseEndpoint(environment, service, tried);
         if (endpoint === undefined) {
             break;
@@ -44,15 +44,15 @@
             }
         }
         tried.add(endpoint);
-        const answer = await sendOnce(environment, context, service, call, endpoint);
+        const answer = await sendCall(environment, context, service, call, endpoint);
         if (answer.ok) {
             return answer;
         }
-        noteFailure(environment, answer.val);
+        observeFailure(environment, answer.val);
         lastMessage = answer.val.message;
         mayHaveRun ||= answer.val.kind === "unknown";
         if (context.stopSignal.aborted && call.isIdempotent) {
-            return Err(RequestError.failed("The node was stopped before the answer came."));
+            return Err(RequestError.failed("The node was stopped before the endpoint answered."));
         }
         if (context.signal.aborted && call.isIdempotent) {
             return Err(RequestError.cancelled());
@@ -65,7 +65,7 @@
     return Err(createFinalError(context, mayHaveRun, tried.size, lastMessage));
 }
 
-async function sendOnce(
+async function sendCall(
     environment: RequestEnvironment,
     context: RequestContext,
     service: DocumentServiceConfiguration,
@@ -74,7 +74,7 @@
 ): Promise<Result<DocumentAnswer, DocumentFailure>> {
     const connection = environment.endpoints.getDocument(endpoint);
     if (connection === undefined) {
-        return Err({ kind: "notSent", endpoint, message: `Endpoint ${endpoint} has left the configuration.` });
+        return Err({ kind: "notSent", endpoint, message: `Endpoint ${endpoint} is no longer in the configuration.` });
     }
     const span = environment.tracing.startSpan("document call", {
         parent: context.span.context,
@@ -92,7 +92,7 @@
     return answer;
 }
 
-function noteFailure(environment: RequestEnvironment, failure: DocumentFailure): void {
+function observeFailure(environment: RequestEnvironment, failure: DocumentFailure): void {
     const { endpoints } = environment;
     if (failure.kind === "notSent") {
         endpoints.observeUnreachable(failure.endpoint);
@@ -102,7 +102,7 @@
     }
 }
 
-/** Chooses among the serving endpoints that were not tried, preferring none, so that load spreads evenly. */
+/** Chooses a random serving endpoint that was not tried yet. Without one, chooses a random unreachable endpoint. */
 function chooseEndpoint(
     environment: RequestEnvironment,
     service: DocumentServiceConfiguration,
@@ -126,7 +126,7 @@
 function createFinalError(
     context: RequestContext,
     mayHaveRun: boolean,
-    sends: number,
+    attempts: number,
     message: string,
 ): RequestError {
     if (mayHaveRun) {
@@ -137,6 +137,6 @@
         status: 503,
         code: "no_endpoint",
         message,
-        retryAfterMilliseconds: sends === 0 ? noEndpointRetryMilliseconds : refusalRetryMilliseconds,
+        retryAfterMilliseconds: attempts === 0 ? noEndpointRetryAfterMilliseconds : refusalRetryAfterMilliseconds,
     });
 }
--- a/src/request/model/chainSelection.ts
+++ b/src/request/model/chainSelection.ts
@@ -10,64 +10,72 @@
     chooser: ChainChooser;
 }
 
-/** Times that one answer leaves a stage that has become slow. */
-const maximumSlowStages = 2;
+/** Maximum number of slow stages that one answer replaces. */
+const maximumSlowStageReplacements = 2;
 
-/** The chains of one answer: without the endpoints that failed it, and with those that survived where that is as good. */
+/** Selects the chains of one answer. Excludes failed endpoints and prefers the other endpoints of a broken chain. */
 export class ChainSelection {
     private readonly options: ChainSelectionOptions;
     private readonly excluded = new Set<string>();
-    private readonly survivors = new Set<string>();
-    private slowStages = 0;
+    private readonly survivingEndpoints = new Set<string>();
+    private slowStageReplacements = 0;
 
     private constructor(options: ChainSelectionOptions) {
         this.options = options;
     }
 
-    /** Creates the selection of an answer that has not failed anywhere. */
+    /** Creates a selection without failed endpoints. */
     static create(options: ChainSelectionOptions): ChainSelection {
         return new ChainSelection(options);
     }
 
-    /** @param positions - Positions of the first pass. */
+    /**
+     * Chooses a chain.
+     * @param positions - Positions of the first pass.
+     */
     chooseChain(positions: number): Result<Chain, NoChainError> {
         return this.choose(positions, this.excluded);
     }
 
+    /** Gets if any endpoint is excluded. */
     hasExclusions(): boolean {
         return this.excluded.size > 0;
     }
 
-    /** Lets the endpoints that failed be chosen again. */
+    /** Allows failed endpoints to be chosen again. */
     clearExclusions(): void {
         this.excluded.clear();
     }
 
-    /** Notes that a chain broke at one endpoint. */
+    /** Excludes the endpoint at which a chain broke and prefers the chain's other endpoints. */
     observeBroken(chain: Chain, endpoint: string): void {
         this.excluded.add(endpoint);
-        this.survivors.clear();
+        this.survivingEndpoints.clear();
         for (const stage of chain.stages) {
             if (stage.endpoint !== endpoint) {
-                this.survivors.add(stage.endpoint);
+                this.survivingEndpoints.add(stage.endpoint);
             }
         }
     }
 
     /**
-     * Decides whether the answer leaves a slow stage: only where there is a chain without it, and not too often.
+     * Gets if the answer should replace a slow stage, and counts the replacement. Returns false if no other chain
+     * exists or the maximum number of replacements is reached.
      * @param endpoint - Endpoint of the stage.
      */
     leaveSlowStage(endpoint: string): boolean {
-        if (this.slowStages >= maximumSlowStages || !this.choose(1, new Set(this.excluded).add(endpoint)).ok) {
+        if (
+            this.slowStageReplacements >= maximumSlowStageReplacements
+            || !this.choose(1, new Set(this.excluded).add(endpoint)).ok
+        ) {
             return false;
         }
-        this.slowStages += 1;
+        this.slowStageReplacements += 1;
         return true;
     }
 
     private choose(positions: number, excluded: ReadonlySet<string>): Result<Chain, NoChainError> {
         const { chooser, model, dataCentre } = this.options;
-        return chooser.chooseChain({ model, dataCentre, positions, excluded, preferred: this.survivors });
+        return chooser.chooseChain({ model, dataCentre, positions, excluded, preferred: this.survivingEndpoints });
     }
 }
--- a/src/request/model/chatAnswer.ts
+++ b/src/request/model/chatAnswer.ts
@@ -1,6 +1,6 @@
 import type { GenerationSummary } from "./runGeneration.ts";
 
-/** What all messages of one chat answer share. */
+/** Fields that all messages of one chat answer share. */
 interface ChatAnswerFields {
     id: string;
     model: string;
@@ -8,12 +8,12 @@
     created: number;
 }
 
-/** The parts of a whole answer that are read back for a repeat. */
-interface WholeAnswer {
+/** Fields of a chat completion that are needed to replay it. */
+interface ChatCompletion {
     choices: [{ message: { content: string; }; finish_reason: "stop" | "length"; }];
 }
 
-/** Writes a chat answer in the shapes of OpenAI's chat completions, whole or as chunks. */
+/** Formats a chat answer as an OpenAI chat completion, in one body or as stream chunks. */
 export class ChatAnswer {
     private readonly fields: ChatAnswerFields;
 
@@ -21,22 +21,22 @@
         this.fields = fields;
     }
 
-    /** Creates the shapes of one answer. */
+    /** Creates the formatter of one answer. */
     static create(fields: ChatAnswerFields): ChatAnswer {
         return new ChatAnswer(fields);
     }
 
-    /** Data of an event that carries text. */
+    /** Creates the event data of a chunk with text. */
     createTextChunk(text: string): string {
         return this.createChunk({ role: "assistant", content: text }, undefined);
     }
 
-    /** Data of the events that close a stream. */
+    /** Creates the event data of the chunks that end a stream. */
     createLastChunks(finishReason: "stop" | "length"): string[] {
         return [this.createChunk({}, finishReason), "[DONE]"];
     }
 
-    /** Body of a whole answer. */
+    /** Creates the body of a complete answer. */
     createWhole(text: string, summary: GenerationSummary): string {
         return JSON.stringify({
             ...this.fields,
@@ -53,11 +53,11 @@
     }
 
     /**
-     * Reads back the parts of a whole answer that this class wrote.
-     * @param body - The body.
+     * Parses the text and finish reason of a body created by {@link ChatAnswer.createWhole}.
+     * @param body - Body in UTF-8.
      */
     static readWhole(body: Buffer): { text: string; finishReason: "stop" | "length"; } {
-        const answer = JSON.parse(body.toString("utf8")) as WholeAnswer;
+        const answer = JSON.parse(body.toString("utf8")) as ChatCompletion;
         const choice = answer.choices[0];
         return { text: choice.message.content, finishReason: choice.finish_reason };
     }
--- a/src/request/model/chatRequest.ts
+++ b/src/request/model/chatRequest.ts
@@ -15,19 +15,19 @@
     max_completion_tokens: z.number().int().positive().optional(),
 });
 
-/** A checked request for a chat completion. */
+/** A validated request for a chat completion. */
 export interface ChatRequest {
     service: string;
-    /** The messages as one text. */
+    /** The messages, rendered as one text. */
     prompt: string;
     isStreamed: boolean;
-    /** Undefined where the caller sets no limit. */
+    /** Undefined if the caller sets no limit. */
     maximumTokens: number | undefined;
 }
 
 /**
- * Checks the body of `POST /v1/chat/completions`.
- * @param body - Bytes of the body.
+ * Parses and validates the body of `POST /v1/chat/completions`.
+ * @param body - Body in UTF-8.
  */
 export function parseChatRequest(body: Buffer): Result<ChatRequest, RequestError> {
     let value: unknown;
@@ -35,12 +35,12 @@
         value = JSON.parse(body.toString("utf8"));
     }
     catch {
-        return Err(RequestError.invalid(400, "invalid_json", "The body is not JSON. Send a JSON object."));
+        return Err(RequestError.invalid(400, "invalid_json", "The body is not valid JSON. Send a JSON object."));
     }
     const parsed = chatRequestSchema.safeParse(value);
     if (!parsed.success) {
         const issue = parsed.error.issues[0]!;
-        const message = `The body's ${issue.path.join(".") || "value"} is wrong: ${issue.message}.`;
+        const message = `The body's ${issue.path.join(".") || "value"} is invalid: ${issue.message}.`;
         return Err(RequestError.invalid(400, "invalid_body", message));
     }
     const { model, messages, stream, max_tokens, max_completion_tokens } = parsed.data;
--- a/src/request/model/createGenerationObserver.ts
+++ b/src/request/model/createGenerationObserver.ts
@@ -6,10 +6,10 @@
 const millisecondsPerSecond = 1_000;
 
 /**
- * Creates the observer that turns what happens to one answer into spans, metrics and log events.
- * @param environment - Parts of the process.
- * @param context - The request.
- * @param gate - Name of the gate that the request passed.
+ * Creates an observer that records the generation of one answer as spans, metrics and log events.
+ * @param environment - Shared services of the process.
+ * @param context - Context of the request.
+ * @param gate - Name of the admission gate that admitted the request.
  */
 export function createGenerationObserver(
     environment: RequestEnvironment,
--- a/src/request/model/generation.ts
+++ b/src/request/model/generation.ts
@@ -3,36 +3,36 @@
 import type { Chain, ChainStage } from "../chain/chain.ts";
 import type { GenerationStep, NextPass } from "./generationStep.ts";
 
-/** What an answer is generated from. */
+/** Options for generating an answer. */
 export interface GenerationOptions {
     request: string;
     model: string;
-    /** Layers of the model. */
+    /** Number of layers of the model. */
     layers: number;
-    /** Prompt as text; the first stage turns it into tokens. */
+    /** Prompt as text. The first stage tokenizes it. */
     prompt: string;
     maximumTokens: number;
     priority: number;
 }
 
 /**
- * The decisions of one generated answer: which pass comes next, and whether a result is accepted. It does no I/O.
+ * State machine of one generated answer. Decides which pass to send next and whether to accept a result. Does no I/O.
  *
- * For each accepted token the layer ranges of the accepted results tile the model once, in order; this is asserted. A
- * rebuilt context (a later attempt) runs the prompt and the accepted tokens again over a new chain; its positions emit
- * nothing and are counted apart.
+ * For each accepted token, the layer ranges of the accepted results cover every layer of the model exactly once, in
+ * order. This is asserted. A later attempt rebuilds the context: it runs the prompt and the accepted tokens again on a
+ * new chain. The rebuilt positions emit no text and are counted separately.
  */
 export class Generation {
     private readonly options: GenerationOptions;
     private readonly acceptedTokens: number[] = [];
     private stages: readonly ChainStage[] = [];
     private attempt = 0;
-    private stage = 0;
-    /** First position of the pass that runs. */
+    private stageIndex = 0;
+    /** First position of the current pass. */
     private position = 0;
-    /** Positions of the pass that runs; 0 until the first stage has counted the prompt. */
-    private count = 0;
-    /** Layer from which the running positions go on; the invariant rests on it. */
+    /** Number of positions of the current pass. 0 until the first stage has reported it. */
+    private positionCount = 0;
+    /** First layer that the current positions have not run yet. The invariant depends on it. */
     private nextLayer = 0;
     private promptPositions = 0;
     private rebuiltPositions = 0;
@@ -42,50 +42,50 @@
         this.options = options;
     }
 
-    /** Creates the state of an answer of which nothing has run. */
+    /** Creates the state of an answer that has not started. */
     static create(options: GenerationOptions): Generation {
         return new Generation(options);
     }
 
-    /** Number of the running attempt; 1 for the first. */
+    /** Gets the number of the current attempt, starting at 1. */
     getAttempt(): number {
         return this.attempt;
     }
 
-    /** Tokens that were accepted so far. */
+    /** Gets the number of tokens accepted so far. */
     getTokenCount(): number {
         return this.acceptedTokens.length;
     }
 
-    /** Positions of the prompt; 0 until the first stage has counted them. */
+    /** Gets the number of positions of the prompt. 0 until the first stage has reported it. */
     getPromptPositions(): number {
         return this.promptPositions;
     }
 
-    /** Positions that ran again to rebuild the context on a new chain. */
+    /** Gets the number of positions that ran again to rebuild the context on a new chain. */
     getRebuiltPositions(): number {
         return this.rebuiltPositions;
     }
 
-    /** Positions of the running pass, estimated from the prompt's length while they are not known. */
+    /** Gets the number of positions of the current pass, estimated from the prompt's length until it is known. */
     getEstimatedPositions(): number {
         const promptPositions = this.promptPositions || estimatePositions(this.options.prompt);
-        return this.count || promptPositions + this.acceptedTokens.length;
+        return this.positionCount || promptPositions + this.acceptedTokens.length;
     }
 
     /**
-     * Starts over on a chain, from the prompt and the accepted tokens.
-     * @param chain - Stages that tile the model.
+     * Starts a new attempt on a chain, with the prompt and the accepted tokens.
+     * @param chain - Chain that covers each layer of the model exactly once.
      * @returns The pass for the first stage.
-     * @throws InvariantError where the chain does not tile the model.
+     * @throws InvariantError if the chain skips or repeats a layer.
      */
     startAttempt(chain: Chain): NextPass {
         assertTiles(chain, this.options.layers);
         this.stages = chain.stages;
         this.attempt += 1;
-        this.stage = 0;
+        this.stageIndex = 0;
         this.position = 0;
-        this.count = 0;
+        this.positionCount = 0;
         this.nextLayer = 0;
         const isRebuild = this.attempt > 1 && this.promptPositions > 0;
         return {
@@ -97,34 +97,34 @@
     }
 
     /**
-     * Takes the result of a pass.
-     * @param result - A result with the outcome `done`.
+     * Handles the result of a pass.
+     * @param result - Result with the outcome `done`.
      */
     accept(result: PassResult): GenerationStep {
         const staleReason = this.getStaleReason(result);
         if (staleReason !== undefined) {
             return { kind: "stale", reason: staleReason };
         }
-        const fault = this.getFault(result);
-        if (fault !== undefined) {
-            return { kind: "malformed", message: fault };
+        const mismatch = this.getMismatch(result);
+        if (mismatch !== undefined) {
+            return { kind: "malformed", message: mismatch };
         }
-        this.count = result.count;
+        this.positionCount = result.count;
         this.nextLayer = result.layerEnd;
         if (this.nextLayer < this.options.layers) {
-            return this.goToNextStage(result);
+            return this.advanceToNextStage(result);
         }
         return this.acceptToken(result);
     }
 
-    private goToNextStage(result: PassResult): GenerationStep {
-        this.stage += 1;
-        return { kind: "nextStage", stage: this.stage, pass: { ...this.createPass(), hidden: result.hidden } };
+    private advanceToNextStage(result: PassResult): GenerationStep {
+        this.stageIndex += 1;
+        return { kind: "nextStage", stage: this.stageIndex, pass: { ...this.createPass(), hidden: result.hidden } };
     }
 
     private acceptToken(result: PassResult): GenerationStep {
-        this.assertWhole();
-        this.countPositions();
+        this.assertAllLayersRan();
+        this.recordFirstPassPositions();
         const text = result.text ?? "";
         if (result.end === true) {
             return this.end(text, "stop");
@@ -133,9 +133,9 @@
         if (this.acceptedTokens.length >= this.options.maximumTokens) {
             return this.end(text, "length");
         }
-        this.position += this.count;
-        this.count = 1;
-        this.stage = 0;
+        this.position += this.positionCount;
+        this.positionCount = 1;
+        this.stageIndex = 0;
         this.nextLayer = 0;
         return { kind: "token", text, stage: 0, pass: { ...this.createPass(), tokens: [result.token ?? 0] } };
     }
@@ -145,19 +145,19 @@
         return { kind: "ended", text, finishReason };
     }
 
-    private countPositions(): void {
+    private recordFirstPassPositions(): void {
         if (this.position > 0) {
             return;
         }
         if (this.promptPositions === 0) {
-            this.promptPositions = this.count;
+            this.promptPositions = this.positionCount;
             return;
         }
-        this.rebuiltPositions += this.count;
+        this.rebuiltPositions += this.positionCount;
     }
 
     private createPass(): NextPass {
-        const { layerStart, layerEnd } = this.stages[this.stage]!;
+        const { layerStart, layerEnd } = this.stages[this.stageIndex]!;
         const { request, model, priority } = this.options;
         const { attempt, position } = this;
         return { request, attempt, model, position, layerStart, layerEnd, priority };
@@ -173,60 +173,68 @@
         return result.layerStart < this.nextLayer ? "layers" : undefined;
     }
 
-    /** Tells what about a result does not fit the running pass, or undefined. */
-    private getFault(result: PassResult): string | undefined {
-        const stage = this.stages[this.stage]!;
+    /** Gets a message about how a result does not match the current pass, or undefined if it matches. */
+    private getMismatch(result: PassResult): string | undefined {
+        const stage = this.stages[this.stageIndex]!;
         if (result.request !== this.options.request || result.attempt !== this.attempt) {
-            return "The endpoint answered for another request or attempt.";
+            return "The endpoint returned the result of a different request or attempt.";
         }
         if (result.position !== this.position || result.layerStart !== this.nextLayer) {
-            return "The endpoint answered for a position or layer that has not been sent.";
+            return "The endpoint returned a result for a position or layer that was not sent.";
         }
         if (result.layerEnd !== stage.layerEnd) {
-            return "The endpoint ran another range of layers than it was sent.";
+            return "The endpoint ran a different range of layers than the one requested.";
         }
         if (!this.isExpectedCount(result.count)) {
-            return "The endpoint ran another number of positions than it was sent.";
+            return "The endpoint ran a different number of positions than the one sent.";
         }
-        return this.getPayloadFault(result);
+        return this.getPayloadMismatch(result);
     }
 
     private isExpectedCount(count: number): boolean {
-        if (this.count > 0) {
-            return count === this.count;
+        if (this.positionCount > 0) {
+            return count === this.positionCount;
         }
         const expected = this.promptPositions + this.acceptedTokens.length;
         return this.promptPositions === 0 ? count > 0 : count === expected;
     }
 
-    private getPayloadFault(result: PassResult): string | undefined {
+    private getPayloadMismatch(result: PassResult): string | undefined {
         if (result.layerEnd === this.options.layers) {
-            return result.token === undefined ? "The last stage brought no token." : undefined;
+            return result.token === undefined ? "The last stage returned no token." : undefined;
         }
-        return result.hidden?.length === result.count ? undefined : "The stage brought no activations a position.";
+        return result.hidden?.length === result.count
+            ? undefined
+            : "The stage did not return the activations of each position.";
     }
 
-    private assertWhole(): void {
-        if (this.isEnded || this.stage !== this.stages.length - 1 || this.nextLayer !== this.options.layers) {
-            throw InvariantError.create("layersOnceInOrder", "A token was accepted whose layers did not all run once.");
+    private assertAllLayersRan(): void {
+        if (this.isEnded || this.stageIndex !== this.stages.length - 1 || this.nextLayer !== this.options.layers) {
+            throw InvariantError.create(
+                "layersOnceInOrder",
+                "A token was accepted before each layer had run exactly once.",
+            );
         }
     }
 }
 
 function estimatePositions(prompt: string): number {
-    const BytesPerToken = 4;
-    return Math.max(1, Math.ceil(prompt.length / BytesPerToken));
+    const bytesPerToken = 4;
+    return Math.max(1, Math.ceil(prompt.length / bytesPerToken));
 }
 
 function assertTiles(chain: Chain, layers: number): void {
     let nextLayer = 0;
     for (const stage of chain.stages) {
         if (stage.layerStart !== nextLayer || stage.layerEnd <= stage.layerStart) {
-            throw InvariantError.create("chainTilesModel", `A chain leaves out or repeats layer ${nextLayer}.`);
+            throw InvariantError.create("chainTilesModel", `A chain skips or repeats layer ${nextLayer}.`);
         }
         nextLayer = stage.layerEnd;
     }
     if (nextLayer !== layers) {
-        throw InvariantError.create("chainTilesModel", `A chain ends at layer ${nextLayer} of ${layers}.`);
+        throw InvariantError.create(
+            "chainTilesModel",
+            `A chain ends at layer ${nextLayer} instead of ${layers}.`,
+        );
     }
 }
--- a/src/request/model/generationObserver.ts
+++ b/src/request/model/generationObserver.ts
@@ -3,14 +3,16 @@
 import type { Result } from "../../result.ts";
 import type { NextPass } from "./generationStep.ts";
 
-/** Hears of what happens while an answer is generated: spans, metrics and events hang on it. */
+/** Receives notifications while an answer is generated, to record spans, metrics and log events. */
 export interface GenerationObserver {
-    /** A pass leaves; the returned function is called with its result. */
+    /** Called when a pass is sent. The returned function is called with the result of the pass. */
     onPassSent(endpoint: string, pass: NextPass): (result: Result<PassResult, PassFailure>) => void;
+    /** Called when an attempt fails. */
     onAttemptBroken(failure: PassFailure): void;
-    /** Tokens flow again, this many milliseconds after the attempt broke. */
+    /** Called at the first token after a failed attempt, with the time since the failure. */
     onRecovered(elapsedMilliseconds: number): void;
-    /** The answer has ended, and so many positions ran again for it on new chains. */
+    /** Called at the end of an answer whose context was rebuilt, with the number of positions that ran again. */
     onRebuilt(positions: number): void;
+    /** Called when a result is stale or malformed. */
     onStaleResult(reason: string): void;
 }
--- a/src/request/model/generationStep.ts
+++ b/src/request/model/generationStep.ts
@@ -1,17 +1,17 @@
 import type { Pass } from "../../connection/endpoint/engineProtocol.ts";
 
-/** A pass that is to be sent, without the number that its connection chooses. */
+/** The next pass to send, without the ID that its connection assigns. */
 export type NextPass = Omit<Pass, "id">;
 
-/** What the result of a pass leads to. */
+/** The step that follows the result of a pass. */
 export type GenerationStep =
-    /** The next stage runs the same positions. */
+    /** The next stage has to run the same positions. */
     | { kind: "nextStage"; stage: number; pass: NextPass; }
-    /** A token was accepted, and the first stage runs it. */
+    /** A token was accepted. The first stage has to run it. */
     | { kind: "token"; text: string; stage: number; pass: NextPass; }
-    /** A token was accepted that ends the answer; its text may be empty. */
+    /** The answer ended. The text of the last token may be empty. */
     | { kind: "ended"; text: string; finishReason: "stop" | "length"; }
-    /** The result belongs to an older attempt or to a part that was accepted before: it is dropped. */
+    /** The result belongs to an earlier attempt, or it was already accepted. */
     | { kind: "stale"; reason: "attempt" | "position" | "layers"; }
-    /** The endpoint's result does not fit the pass; the attempt is over. */
+    /** The result does not match the pass, so the attempt fails. */
     | { kind: "malformed"; message: string; };
--- a/src/request/model/handleChat.ts
+++ b/src/request/model/handleChat.ts
@@ -21,7 +21,7 @@
 const bytesPerToken = 4;
 const millisecondsPerSecond = 1_000;
 
-/** One chat request on its way through this node. */
+/** State of one chat request. */
 interface ChatRun {
     environment: RequestEnvironment;
     context: RequestContext;
@@ -31,16 +31,16 @@
     maximumTokens: number;
     answer: ChatAnswer;
     headers: Record<string, string>;
-    /** Texts of the accepted tokens. */
-    chunks: string[];
+    /** Texts of the accepted tokens. Tokens without text are left out. */
+    tokenTexts: string[];
 }
 
 /**
- * Answers `POST /v1/chat/completions`.
- * @param environment - Parts of the process.
- * @param context - The request.
- * @param body - Its body.
- * @param writer - Takes the final answer, unless an error is returned.
+ * Handles `POST /v1/chat/completions`.
+ * @param environment - Shared services of the process.
+ * @param context - Context of the request.
+ * @param body - Body of the request.
+ * @param writer - Writes the final answer, unless an error is returned.
  */
 export async function handleChat(
     environment: RequestEnvironment,
@@ -85,12 +85,12 @@
     const created = Math.floor(environment.clock.getWallTime() / millisecondsPerSecond);
     const answer = ChatAnswer.create({ id: `chatcmpl-${context.id}`, model: chat.service, created });
     const headers = { "x-request-id": context.id };
-    return Ok({ environment, context, writer, chat, service, maximumTokens, answer, headers, chunks: [] });
+    return Ok({ environment, context, writer, chat, service, maximumTokens, answer, headers, tokenTexts: [] });
 }
 
-/** Tokens that the engines have worked on; 0 where nothing ran. */
+/** Gets the estimated number of tokens that the engines processed. 0 if nothing ran. */
 function getUsedTokens(run: ChatRun): number {
-    return run.context.permit.isAvailable() ? 0 : run.chat.prompt.length / bytesPerToken + run.chunks.length;
+    return run.context.permit.isAvailable() ? 0 : run.chat.prompt.length / bytesPerToken + run.tokenTexts.length;
 }
 
 function createUnknownServiceError(context: RequestContext, name: string): RequestError {
@@ -111,7 +111,7 @@
         return claim;
     }
     if (claim.val.kind === "answered") {
-        replay(run, claim.val.answer);
+        replayAnswer(run, claim.val.answer);
         return Ok.EMPTY;
     }
     const outcome = await settleOnThrow(run.environment, claim.val, () => generate(run, ticket, claim.val));
@@ -119,7 +119,7 @@
     if (!outcome.ok) {
         return outcome;
     }
-    finish(run, outcome.val);
+    sendAnswer(run, outcome.val);
     return Ok.EMPTY;
 }
 
@@ -129,7 +129,7 @@
     claim: RequestClaim,
 ): Promise<Result<GenerationSummary, RequestError>> {
     const { environment, context, service, chat, writer } = run;
-    const times = TokenTimes.create(environment.clock, environment.metrics, context.arrivedAt);
+    const recorder = TokenTimes.create(environment.clock, environment.metrics, context.arrivedAt);
     return await runGeneration({
         request: context.id,
         model: service.model,
@@ -139,7 +139,7 @@
         priority: ticket.priority,
         dataCentre: environment.dataCentre,
         permit: context.permit,
-        // A claimed request runs to its end without its caller, so that a repeat gets the answer.
+        // A claimed request continues after its caller disconnects, so that a repeated request gets the answer.
         signal: claim.kind === "granted" ? context.stopSignal : context.signal,
         stopSignal: context.stopSignal,
         chooser: environment.chooser,
@@ -147,11 +147,11 @@
         observer: createGenerationObserver(environment, context, ticket.gate),
         getConnection: endpoint => environment.endpoints.getEngine(endpoint),
         onChain: chain => {
-            run.headers["x-foxlead-chain"] = describeChain(chain);
+            run.headers["x-foxlead-chain"] = formatChain(chain);
         },
         onText: text => {
-            times.observeToken();
-            run.chunks.push(text);
+            recorder.observeToken();
+            run.tokenTexts.push(text);
             if (chat.isStreamed) {
                 startStreamOnce(run);
                 writer.writeText(text);
@@ -166,22 +166,27 @@
     }
 }
 
-function finish(run: ChatRun, summary: GenerationSummary): void {
+function sendAnswer(run: ChatRun, summary: GenerationSummary): void {
     if (run.chat.isStreamed) {
         startStreamOnce(run);
         run.writer.endStream(run.answer.createLastChunks(summary.finishReason));
         return;
     }
-    run.writer.sendWhole(200, "application/json", run.answer.createWhole(run.chunks.join(""), summary), run.headers);
+    run.writer.sendWhole(
+        200,
+        "application/json",
+        run.answer.createWhole(run.tokenTexts.join(""), summary),
+        run.headers,
+    );
 }
 
-function replay(run: ChatRun, kept: KeptAnswer): void {
+function replayAnswer(run: ChatRun, keptAnswer: KeptAnswer): void {
     const headers = { ...run.headers, "x-foxlead-replayed": "true" };
     if (!run.chat.isStreamed) {
-        run.writer.sendWhole(kept.status, kept.contentType, kept.body, headers);
+        run.writer.sendWhole(keptAnswer.status, keptAnswer.contentType, keptAnswer.body, headers);
         return;
     }
-    const { text, finishReason } = ChatAnswer.readWhole(kept.body);
+    const { text, finishReason } = ChatAnswer.readWhole(keptAnswer.body);
     run.writer.startStream(headers, part => run.answer.createTextChunk(part));
     run.writer.writeText(text);
     run.writer.endStream(run.answer.createLastChunks(finishReason));
@@ -197,13 +202,13 @@
     }
     const { claims } = run.environment;
     if (outcome.ok) {
-        const body = Buffer.from(run.answer.createWhole(run.chunks.join(""), outcome.val));
+        const body = Buffer.from(run.answer.createWhole(run.tokenTexts.join(""), outcome.val));
         claims.settle(claim.key, { kind: "finished", answer: { status: 200, contentType: "application/json", body } });
         return;
     }
     claims.settle(claim.key, { kind: outcome.val.outcome === "notRun" ? "notRun" : "unknown" });
 }
 
-function describeChain(chain: Chain): string {
+function formatChain(chain: Chain): string {
     return chain.stages.map(stage => `${stage.endpoint}[${stage.layerStart}-${stage.layerEnd})`).join(" ");
 }
--- a/src/request/model/runGeneration.ts
+++ b/src/request/model/runGeneration.ts
@@ -13,11 +13,11 @@
 import type { GenerationStep } from "./generationStep.ts";
 import { SlowStageDetector } from "./slowStageDetector.ts";
 
-/** What one generated answer needs of the process. */
+/** Options for running a generation. */
 export interface RunGenerationOptions extends GenerationOptions {
     dataCentre: string;
     permit: NotRunPermit;
-    /** Aborts when the answer has lost its use, or the node is forced to stop. */
+    /** Aborts when the answer is no longer needed or the node is forced to stop. */
     signal: AbortSignal;
     /** Aborts when the node is forced to stop. */
     stopSignal: AbortSignal;
@@ -25,13 +25,13 @@
     clock: Clock;
     observer: GenerationObserver;
     getConnection(endpoint: string): EngineConnection | undefined;
-    /** Hears of each chain before its first pass. */
+    /** Called with each chain before its first pass. */
     onChain(chain: Chain): void;
-    /** Takes each accepted token's text, in order. */
+    /** Called with the text of each accepted token, in order. Not called for empty texts. */
     onText(text: string): void;
 }
 
-/** A whole answer. */
+/** Summary of a complete answer. */
 export interface GenerationSummary {
     finishReason: "stop" | "length";
     promptPositions: number;
@@ -40,20 +40,20 @@
     attempts: number;
 }
 
-/** Why an attempt ended without an answer. */
+/** Reason why an attempt ended without an answer. */
 type AttemptEnd = { kind: "cancelled"; } | { kind: "broken"; failure: PassFailure; };
 
-/** Attempts of one answer before it fails. */
+/** Maximum number of attempts of one answer. */
 const maximumAttempts = 12;
-/** How long a started answer waits for a chain to come back before it fails, in milliseconds. */
-const chainPatienceMilliseconds = 8_000;
-const chainRetryMilliseconds = 50;
+/** Maximum wait of a started answer for an available chain. */
+const chainWaitMilliseconds = 8_000;
+const chainRetryDelayMilliseconds = 50;
 const noChainRetryAfterMilliseconds = 1_000;
 
 /**
- * Generates one answer: chooses a chain, drives each pass through its stages, and when a stage is lost rebuilds the
- * context on another chain without emitting anything twice.
- * @param options - The request and the parts of the process that it uses.
+ * Generates one answer. Chooses a chain and sends each pass through its stages. If a stage fails, rebuilds the context
+ * on another chain without emitting any token twice.
+ * @param options - Request and dependencies.
  */
 export async function runGeneration(
     options: RunGenerationOptions,
@@ -61,11 +61,13 @@
     return await GenerationRun.create(options).run();
 }
 
+/** The attempts of one answer. */
 class GenerationRun {
     private readonly options: RunGenerationOptions;
     private readonly generation: Generation;
     private readonly selection: ChainSelection;
     private mayHaveRun = false;
+    /** Monotonic time of the first failure since the last token. */
     private brokenAt: number | undefined;
 
     private constructor(options: RunGenerationOptions) {
@@ -104,22 +106,22 @@
             lastMessage = outcome.val.failure.message;
             this.handleBrokenAttempt(chain.val, outcome.val.failure);
         }
-        return Err(this.createFinalError(`The answer failed on ${maximumAttempts} chains. ${lastMessage}`));
+        return Err(this.createFinalError(`The answer failed after ${maximumAttempts} attempts. ${lastMessage}`));
     }
 
     private async runReservedAttempt(chain: Chain): Promise<Result<Omit<GenerationSummary, "chain">, AttemptEnd>> {
         const { chooser, signal } = this.options;
         chooser.reserveChain(chain);
         this.options.onChain(chain);
-        // An engine refuses a pass that waits once its sequence is cancelled, so the run ends soon after the signal.
-        const freeChain = () => this.freeChain(chain);
-        signal.addEventListener("abort", freeChain, { once: true });
+        // Once the sequence is cancelled, an engine rejects its queued pass, so the attempt ends soon after the signal.
+        const cancelChain = () => this.cancelChain(chain);
+        signal.addEventListener("abort", cancelChain, { once: true });
         try {
             return await this.runAttempt(chain);
         }
         finally {
-            signal.removeEventListener("abort", freeChain);
-            this.freeChain(chain);
+            signal.removeEventListener("abort", cancelChain);
+            this.cancelChain(chain);
             chooser.releaseChain(chain);
         }
     }
@@ -168,9 +170,9 @@
             return Err({ kind: "notSent", endpoint, reason: "removed", message });
         }
         const { observer } = this.options;
-        const finishObservation = observer.onPassSent(endpoint, pass);
+        const onResult = observer.onPassSent(endpoint, pass);
         const result = await connection.runPass(pass, this.generation.getEstimatedPositions());
-        finishObservation(result);
+        onResult(result);
         return result;
     }
 
@@ -187,24 +189,27 @@
         }
     }
 
-    /** Chooses a chain; a request of which something has run waits for one, for a bounded time. */
+    /**
+     * Chooses a chain. If a pass may already have run, waits for an available chain for a limited time. Failed
+     * endpoints are allowed again if there is no chain without them.
+     */
     private async chooseChain(): Promise<Result<Chain, RequestError>> {
         const { clock } = this.options;
-        const giveUpAt = clock.getMonotonicTime() + chainPatienceMilliseconds;
+        const deadline = clock.getMonotonicTime() + chainWaitMilliseconds;
         for (;;) {
             const chain = this.selection.chooseChain(this.generation.getEstimatedPositions());
             if (chain.ok) {
                 return Ok(chain.val);
             }
-            const isPatient = this.mayHaveRun && clock.getMonotonicTime() < giveUpAt;
+            const canWait = this.mayHaveRun && clock.getMonotonicTime() < deadline;
             if (this.options.signal.aborted) {
                 return Err(this.createAbortError());
             }
-            if (!isPatient && !this.selection.hasExclusions()) {
+            if (!canWait && !this.selection.hasExclusions()) {
                 return Err(this.createFinalError(chain.val.message));
             }
             this.selection.clearExclusions();
-            await new Promise<void>(resolve => void clock.setTimer(chainRetryMilliseconds, resolve));
+            await new Promise<void>(resolve => void clock.setTimer(chainRetryDelayMilliseconds, resolve));
         }
     }
 
@@ -218,8 +223,8 @@
         observer.onAttemptBroken(failure);
     }
 
-    /** Frees the sequence at every stage; engines keep it until they are told. */
-    private freeChain(chain: Chain): void {
+    /** Cancels the sequence at every stage. Engines keep its memory until then. */
+    private cancelChain(chain: Chain): void {
         const order = { request: this.options.request, attempt: this.generation.getAttempt() };
         for (const stage of chain.stages) {
             void this.options.getConnection(stage.endpoint)?.cancel(order);
@@ -228,7 +233,7 @@
 
     private createAbortError(): RequestError {
         return this.options.stopSignal.aborted
-            ? RequestError.failed("The node was stopped before the answer was whole.")
+            ? RequestError.failed("The node was stopped before the answer was complete.")
             : RequestError.cancelled();
     }
 
@@ -249,7 +254,7 @@
     private createMalformedFailure(endpoint: string, step: GenerationStep): PassFailure {
         const reason = step.kind === "malformed" ? step.message : "a stale result";
         this.options.observer.onStaleResult(step.kind === "stale" ? step.reason : "malformed");
-        return { kind: "failed", endpoint, reason, message: `Endpoint ${endpoint} broke the protocol: ${reason}` };
+        return { kind: "failed", endpoint, reason, message: `Endpoint ${endpoint} violated the protocol: ${reason}` };
     }
 
     private createSummary(finishReason: "stop" | "length"): Omit<GenerationSummary, "chain"> {
@@ -263,6 +268,6 @@
 }
 
 function createSlowFailure(endpoint: string): PassFailure {
-    const message = `Endpoint ${endpoint} has become slow; the answer goes on without it.`;
+    const message = `Endpoint ${endpoint} became slow. The answer continues on another chain.`;
     return { kind: "slow", endpoint, reason: "slow", message };
 }
--- a/src/request/model/tokenTimes.ts
+++ b/src/request/model/tokenTimes.ts
@@ -3,10 +3,11 @@
 
 const millisecondsPerSecond = 1_000;
 
-/** Measures the time to the first token of an answer and the times between its tokens. */
+/** Records the time to the first token of an answer and the times between its tokens. */
 export class TokenTimes {
     private readonly clock: Clock;
     private readonly metrics: Metrics;
+    /** Time of the last token, or of the request's arrival before the first token. */
     private lastAt: number;
     private isFirst = true;
 
@@ -16,12 +17,15 @@
         this.lastAt = arrivedAt;
     }
 
-    /** @param arrivedAt - Monotonic time of the request's arrival, in milliseconds. */
+    /**
+     * Creates the recorder of one answer.
+     * @param arrivedAt - Monotonic time of the request's arrival, in milliseconds.
+     */
     static create(clock: Clock, metrics: Metrics, arrivedAt: number): TokenTimes {
         return new TokenTimes(clock, metrics, arrivedAt);
     }
 
-    /** Notes that a token has been accepted. */
+    /** Records an accepted token. */
     observeToken(): void {
         this.metrics.countToken();
         const now = this.clock.getMonotonicTime();
--- a/tests/request/chain/chainFixture.ts
+++ b/tests/request/chain/chainFixture.ts
@@ -6,7 +6,7 @@
 import type { Configuration, EndpointConfiguration } from "../../../src/version/configuration.ts";
 import { createSeededRandom } from "../../support/createSeededRandom.ts";
 
-/** What a test says of an endpoint. */
+/** An endpoint of a {@link ChainFixture}. */
 export interface FixtureEndpoint {
     start: number;
     end: number;
@@ -15,7 +15,7 @@
     step?: number;
 }
 
-/** A chooser over a few endpoints `e0`, `e1` and so on, of one model `m`, at a time that the test sets. */
+/** Fixture for choosers with endpoints `e0`, `e1` and so on, one model `m`, and a clock that the test sets. */
 export class ChainFixture {
     readonly configuration: Configuration;
     readonly states = new Map<string, EndpointState>();
@@ -34,7 +34,7 @@
         return new ChainFixture(layers, endpoints);
     }
 
-    /** Creates a chooser that reads from this fixture. */
+    /** Creates a chooser that uses this fixture's configuration, states and clock. */
     createChooser(seed = 1, selectCandidates?: SelectCandidates): EstimatedTimeChooser {
         const clock: Clock = {
             getMonotonicTime: () => this.now,
@@ -53,7 +53,7 @@
         });
     }
 
-    /** Options of a choice for model `m` from data centre `a`. */
+    /** Gets the options of a choice for model `m` in data centre `a`. */
     getOptions(options: Partial<ChainOptions> = {}): ChainOptions {
         return {
             model: "m",
--- a/tests/request/chain/computeFlowBound.test.ts
+++ b/tests/request/chain/computeFlowBound.test.ts
@@ -21,7 +21,7 @@
         rate: integer({ min: 1, max: 100 }),
     });
 
-    it("equals the tightest set of layers, found by trying all sets", () => {
+    it("equals the bound of the most constrained set of layers, found by brute force", () => {
         assertProperty(
             property(array(endpoint, { minLength: 1, maxLength: 6 }), endpoints => {
                 const { positionsPerSecond } = doTest([endpoints]);
@@ -59,7 +59,7 @@
         assertClose(bound.positionsPerSecond, 1_000);
     });
 
-    it("is zero where a layer is missing", () => {
+    it("is zero if a layer is missing", () => {
         assert.equal(doTest([[{ start: 0, length: 3, rate: 5 }]]).positionsPerSecond, 0);
     });
 });
@@ -90,7 +90,7 @@
     });
 }
 
-/** By Hall's theorem: over all sets of layers, the least of (rates of the endpoints that hold any) / (set's size). */
+/** By Hall's theorem, the bound is the minimum of (total rate of the endpoints) / (layers) over all sets of layers. */
 function findTightestSet(endpoints: readonly TestEndpoint[]): number {
     let least = Infinity;
     for (let set = 1; set < 1 << layers; set++) {
--- a/tests/request/chain/endpointLoad.test.ts
+++ b/tests/request/chain/endpointLoad.test.ts
@@ -3,12 +3,12 @@
 import { EndpointLoad } from "../../../src/request/chain/endpointLoad.ts";
 
 describe("applyReport", () => {
-    it("adds what this node sent since the figures were taken", () => {
+    it("adds the sequences that this node started after the report was sampled", () => {
         const load = EndpointLoad.create();
         load.addSequence(100);
         load.addSequence(900);
         load.addSequence(950);
-        // Taken at 500: one own sequence of the five, so four of other nodes.
+        // Sampled at 500: of the five sequences one is this node's, so four belong to other nodes.
         load.applyReport({ queue: 3, sequences: 5, freePositions: 10 }, 500);
         assert.equal(load.getSequences(), 7);
         assert.equal(load.getQueue(), 5);
--- a/tests/request/chain/estimatedTimeChooser.test.ts
+++ b/tests/request/chain/estimatedTimeChooser.test.ts
@@ -13,7 +13,7 @@
         { minLength: 1, maxLength: 30 },
     );
 
-    it("tiles the layers from usable endpoints only, or names the first missing layer", () => {
+    it("covers each layer once with usable endpoints only, or returns the first missing layer", () => {
         assertProperty(
             property(endpoints, integer(), integer({ min: 0, max: 29 }), (ranges, seed, excludedIndex) => {
                 const fixture = ChainFixture.create(
@@ -53,7 +53,7 @@
         );
     });
 
-    it("follows layers that an endpoint reports later", () => {
+    it("uses layers that an endpoint reports later", () => {
         const fixture = ChainFixture.create(layers, [{ start: 0, end: 12 }, { start: 0, end: 12 }]);
         const chooser = fixture.createChooser();
         assert.ok(chooser.chooseChain(fixture.getOptions()).err);
@@ -72,7 +72,7 @@
         assert.equal(result.val.missingLayer, 0);
     });
 
-    it("prefers the near, the quick and the preferred endpoint", () => {
+    it("prefers endpoints that are close, fast or preferred", () => {
         const all = { start: 0, end: layers };
         const doTest = (
             endpoints: Parameters<typeof ChainFixture.create>[1],
@@ -89,7 +89,7 @@
         doTest([{ ...all, step: 0.5 }, { ...all, step: 0.5 }], "e1", ["e1"]);
     });
 
-    it("prefers an endpoint that caches the prompt's prefix, and avoids one that failed", () => {
+    it("prefers an endpoint that caches the prompt's prefix and avoids an endpoint that failed", () => {
         const fixture = ChainFixture.create(layers, [{ start: 0, end: layers, step: 1 }, {
             start: 0,
             end: layers,
@@ -107,7 +107,7 @@
         assert.equal(choose(), "e1");
     });
 
-    it("does not send all nodes to the same endpoint on the same stale report", () => {
+    it("does not make all nodes choose the same endpoint on the same stale report", () => {
         const endpoints = Array.from({ length: 32 }, () => ({ start: 0, end: layers, step: 1 }));
         const countLargest = (selectCandidates?: SelectCandidates) => {
             const fixture = ChainFixture.create(layers, endpoints);
@@ -127,13 +127,13 @@
             }
             return Math.max(...counts.values());
         };
-        const herd = countLargest(holders => [...holders.records.keys()]);
-        assert.equal(herd, 64);
+        const largestCount = countLargest(holders => [...holders.records.keys()]);
+        assert.equal(largestCount, 64);
         assert.ok(countLargest() <= 64 / 2);
     });
 });
 
-/** Lets a chooser see the same step time of each endpoint until it is sure of them. */
+/** Reports the same step time for each endpoint until the chooser's estimates have little uncertainty. */
 function learnStepTimes(chooser: EstimatedTimeChooser, fixture: ChainFixture): void {
     for (const endpoint of fixture.states.keys()) {
         for (let pass = 0; pass < 100; pass++) {
--- a/tests/request/chain/stepTimeEstimator.test.ts
+++ b/tests/request/chain/stepTimeEstimator.test.ts
@@ -3,7 +3,7 @@
 import { StepTimeEstimator } from "../../../src/request/chain/stepTimeEstimator.ts";
 
 describe("getEstimate", () => {
-    it("starts from the configured time, else the kind's median, else that of all", () => {
+    it("starts from the configured time, or the median of the accelerator kind, or the median of all endpoints", () => {
         const estimator = StepTimeEstimator.create();
         estimator.addEndpoint("e0", "k", 2);
         estimator.addEndpoint("e1", "k", 3);
@@ -15,10 +15,10 @@
         assert.equal(estimator.getEstimate("e4").decodeMilliseconds, 3);
     });
 
-    it("learns the step without the waiting, and the wait for one waiting pass", () => {
+    it("learns the step time without waiting, and the wait per waiting pass", () => {
         const estimator = StepTimeEstimator.create();
         estimator.addEndpoint("e0", "k", undefined);
-        const unsure = estimator.getEstimate("e0").uncertainty;
+        const initialUncertainty = estimator.getEstimate("e0").uncertainty;
         for (let index = 0; index < 400; index++) {
             const queue = index % 5;
             estimator.observe("e0", { layers: 4, positions: 1, queue }, 8 + 3 * queue);
@@ -26,6 +26,6 @@
         const { decodeMilliseconds, uncertainty, waitMilliseconds } = estimator.getEstimate("e0");
         assert.ok(Math.abs(decodeMilliseconds - 2) < 0.2, `decode ${decodeMilliseconds}`);
         assert.ok(Math.abs(waitMilliseconds - 3) < 0.6, `wait ${waitMilliseconds}`);
-        assert.ok(uncertainty < unsure / 100);
+        assert.ok(uncertainty < initialUncertainty / 100);
     });
 });
--- a/tests/request/document/misbehavingDocuments.test.ts
+++ b/tests/request/document/misbehavingDocuments.test.ts
@@ -11,25 +11,25 @@
     return { "idempotency-key": NodeFixture.createKey() };
 }
 
-describe("document services that misbehave", () => {
+describe("misbehaving document services", () => {
     let fixture: NodeFixture;
-    const raws: RawEndpoint[] = [];
+    const rawEndpoints: RawEndpoint[] = [];
 
     before(async () => {
-        raws.push(await RawEndpoint.create(), await RawEndpoint.create());
-        const addresses = { "document-1": raws[0]!.getAddress(), "document-2": raws[1]!.getAddress() };
+        rawEndpoints.push(await RawEndpoint.create(), await RawEndpoint.create());
+        const addresses = { "document-1": rawEndpoints[0]!.getAddress(), "document-2": rawEndpoints[1]!.getAddress() };
         fixture = await NodeFixture.create({ addresses, documentTimeoutMilliseconds });
     });
 
     after(async () => {
         await fixture.close();
-        for (const raw of raws) {
+        for (const raw of rawEndpoints) {
             await raw.close();
         }
     });
 
     function setOptions(options: RawEndpoint["options"]): void {
-        for (const raw of raws) {
+        for (const raw of rawEndpoints) {
             raw.options = options;
             raw.requests.length = 0;
             raw.connections = 0;
@@ -37,21 +37,21 @@
     }
 
     for (const [fault, options] of Object.entries(documentFaultCases)) {
-        it(`get a call that may run only once at most once where one ${fault}`, async () => {
+        it(`receive a non-idempotent call at most once if one ${fault}`, async () => {
             setOptions(options);
             const key = createKey();
             const first = await fixture.post("/v1/services/receipts/a", "x", key);
             NodeFixture.assertError(first, { ...unknown, message: /may have run; it is not repeated/ });
             const repeat = await fixture.post("/v1/services/receipts/a", "x", key);
             NodeFixture.assertError(repeat, { ...unknown, message: /not run again/ });
-            assert.equal(raws[0]!.connections + raws[1]!.connections, 1);
+            assert.equal(rawEndpoints[0]!.connections + rawEndpoints[1]!.connections, 1);
         });
     }
 
-    it("do not end the node", () => fixture.assertServes());
+    it("do not crash the node", () => fixture.assertServes());
 });
 
-describe("a document service that fails beside one that works", () => {
+describe("a failing document endpoint next to a working one", () => {
     let fixture: NodeFixture;
     let raw: RawEndpoint;
 
@@ -60,7 +60,7 @@
         const addresses = { "document-1": raw.getAddress() };
         fixture = await NodeFixture.create({ addresses, documentTimeoutMilliseconds });
         raw.options = { onRequest: socket => socket.write("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n") };
-        // Requests save up the retries that the tests below take.
+        // Fills the retry budget that the tests below use.
         for (let round = 0; round < 100; round += 1) {
             await fixture.post("/v1/services/summaries/a", "x");
         }
@@ -72,7 +72,7 @@
     });
 
     for (const [fault, options] of Object.entries(documentFaultCases)) {
-        it(`has its idempotent calls taken over where it ${fault}`, async () => {
+        it(`has its idempotent calls retried at the other endpoint if it ${fault}`, async () => {
             raw.options = options;
             raw.connections = 0;
             for (let round = 0; raw.connections === 0 && round < 100; round += 1) {
@@ -85,8 +85,8 @@
     }
 });
 
-describe("document services that nothing listens for", () => {
-    it("refuse a call as not run, and a repeat may run", async () => {
+describe("document services whose endpoints refuse connections", () => {
+    it("answer a call as not run, so that it may be repeated", async () => {
         const raw = await RawEndpoint.create();
         const address = raw.getAddress();
         await raw.close();
@@ -103,7 +103,7 @@
 });
 
 describe("paths of document services", () => {
-    it("reach the service as the caller wrote them", async () => {
+    it("reach the service unchanged", async () => {
         const raw = await RawEndpoint.create({
             onRequest: socket => socket.end("HTTP/1.1 200 OK\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"),
         });
--- a/tests/request/model/generation.test.ts
+++ b/tests/request/model/generation.test.ts
@@ -52,7 +52,7 @@
         };
     }
 
-    it("emits each token once, in order, whatever doubled, late or broken attempts come between", () => {
+    it("emits each token once and in order despite duplicate results, late results and broken attempts", () => {
         const boundaries = fc.subarray([2, 5, 7, 10]).map(list => [...list].sort((left, right) => left - right));
         const disturbance = fc.constantFrom("none", "doubled", "old", "broken");
         fc.assert(
@@ -89,7 +89,7 @@
         );
     });
 
-    it("refuses a chain that leaves out a layer", () => {
+    it("rejects a chain that skips a layer", () => {
         const stages = [{ endpoint: "a", layerStart: 0, layerEnd: 4 }, {
             endpoint: "b",
             layerStart: 5,
@@ -98,7 +98,7 @@
         assert.throws(() => createGeneration().startAttempt({ stages }), { invariant: "chainTilesModel" });
     });
 
-    it("does not accept a result that ran other layers or positions than were sent", () => {
+    it("rejects a result whose request, layers or positions do not match the pass", () => {
         const generation = createGeneration();
         const pass = generation.startAttempt(createChain([4]));
         const result = createResult(pass, 0);
@@ -108,7 +108,7 @@
         assert.equal(generation.accept(result).kind, "nextStage");
     });
 
-    it("counts the positions of a rebuilt context apart", () => {
+    it("counts the positions of a rebuilt context separately", () => {
         const generation = createGeneration();
         const first = generation.accept(createResult(generation.startAttempt(createChain([])), 0));
         assert.equal(first.kind, "token");
--- a/tests/request/model/misbehavingEngines.test.ts
+++ b/tests/request/model/misbehavingEngines.test.ts
@@ -5,7 +5,7 @@
 import { NodeFixture } from "../../connection/caller/nodeFixture.ts";
 import { RawEndpoint } from "../../connection/document/rawEndpoint.ts";
 
-/** How a fake engine answers a batch of passes. */
+/** Function with which a fake engine answers a batch of passes. */
 type AnswerPasses = (passes: readonly Pass[], stream: ResultStream) => void;
 
 const status = {
@@ -20,7 +20,7 @@
     cacheSequence: 0,
 };
 
-/** The answer to one batch. */
+/** Response stream of one batch. */
 class ResultStream {
     private readonly socket: Socket;
 
@@ -42,7 +42,7 @@
     }
 }
 
-/** The result that an honest last stage brings; tokens count up. */
+/** Creates the correct result of the last stage. Token numbers are ascending. */
 function createResult(pass: Pass): PassResult {
     const { id, request, attempt, position, layerStart, layerEnd, hidden = [] } = pass;
     const token = 100 + position;
@@ -50,15 +50,15 @@
     return { ...common, count: hidden.length, outcome: "done", token, text: `t${position} ` };
 }
 
-const answerWell: AnswerPasses = (passes, stream) => {
+const answerCorrectly: AnswerPasses = (passes, stream) => {
     for (const pass of passes) {
         stream.send(createResult(pass));
     }
     stream.end();
 };
 
-/** Answers well, but for a change of each result. */
-function answerChanged(change: (result: PassResult) => object): AnswerPasses {
+/** Creates a function that answers with modified results. */
+function answerModified(change: (result: PassResult) => object): AnswerPasses {
     return (passes, stream) => {
         for (const pass of passes) {
             stream.send(change(createResult(pass)));
@@ -68,34 +68,34 @@
 }
 
 const faults: readonly (readonly [string, AnswerPasses])[] = [
-    ["sends no JSON", (_passes, stream) => stream.write("nonsense\n")],
-    ["sends wrong types", answerChanged(result => ({ ...result, count: "1" }))],
+    ["sends invalid JSON", (_passes, stream) => stream.write("nonsense\n")],
+    ["sends wrong types", answerModified(result => ({ ...result, count: "1" }))],
     ["sends an oversized line", (_passes, stream) => stream.write("x".repeat(17 * 1024 * 1024))],
-    ["answers for other ids", answerChanged(result => ({ ...result, id: result.id + 1_000 }))],
-    ["answers for another request", answerChanged(result => ({ ...result, request: "other" }))],
-    ["answers for another attempt", answerChanged(result => ({ ...result, attempt: 99 }))],
-    ["answers for an earlier position", answerChanged(result => ({ ...result, position: result.position + 7 }))],
-    ["answers for another range of layers", answerChanged(result => ({ ...result, layerEnd: 7 }))],
-    ["runs no position", answerChanged(result => ({ ...result, count: 0 }))],
-    ["runs too many positions", answerChanged(result => ({ ...result, count: 1_000_000 }))],
-    ["brings no token", answerChanged(result => ({ ...result, token: undefined }))],
+    ["answers for other ids", answerModified(result => ({ ...result, id: result.id + 1_000 }))],
+    ["answers for another request", answerModified(result => ({ ...result, request: "other" }))],
+    ["answers for another attempt", answerModified(result => ({ ...result, attempt: 99 }))],
+    ["answers for an earlier position", answerModified(result => ({ ...result, position: result.position + 7 }))],
+    ["answers for another range of layers", answerModified(result => ({ ...result, layerEnd: 7 }))],
+    ["runs no positions", answerModified(result => ({ ...result, count: 0 }))],
+    ["runs too many positions", answerModified(result => ({ ...result, count: 1_000_000 }))],
+    ["returns no token", answerModified(result => ({ ...result, token: undefined }))],
     ["ends without a result", (_passes, stream) => stream.end()],
-    ["never ends and brings nothing", () => undefined],
-    ["fails each pass", answerChanged(result => ({ ...result, outcome: "failed", reason: "broken" }))],
+    ["never ends and returns nothing", () => undefined],
+    ["fails each pass", answerModified(result => ({ ...result, outcome: "failed", reason: "broken" }))],
 ];
 
-describe("engines that misbehave", () => {
+describe("misbehaving engines", () => {
     let fixture: NodeFixture;
     let raw: RawEndpoint;
-    let answerPasses = answerWell;
+    let answerPasses = answerCorrectly;
     let statusBody = JSON.stringify(status);
 
     before(async () => {
         raw = await RawEndpoint.create({ onRequest: answerRequest });
         fixture = await NodeFixture.create({
             addresses: { "engine-2": raw.getAddress() },
-            // On a busy machine the node may order the other engine to load the layers of this one, whose answers are
-            // what is looked at; that load never ends here.
+            // On a busy machine the node may order the other engine to load the layers of the tested engine, which
+            // would then no longer be used. The long load time prevents this.
             weightLoadMilliseconds: 3_600_000,
         });
     });
@@ -116,15 +116,15 @@
     }
 
     async function assertServes(): Promise<void> {
-        answerPasses = answerWell;
+        answerPasses = answerCorrectly;
         const answer = await fixture.chat();
         assert.equal(answer.status, 200, answer.text);
         assert.match(answer.text, /t0 t4 t5 t6 /);
     }
 
-    it("serve while they behave", assertServes);
+    it("serve while they answer correctly", assertServes);
 
-    it("may send results twice, and end their answers late or never", async () => {
+    it("may send duplicate results and never end their responses", async () => {
         answerPasses = (passes, stream) => {
             for (const pass of [...passes, ...passes]) {
                 stream.send(createResult(pass));
@@ -135,7 +135,7 @@
     });
 
     it("may answer out of order", async () => {
-        answerPasses = (passes, stream) => answerWell([...passes].reverse(), stream);
+        answerPasses = (passes, stream) => answerCorrectly([...passes].reverse(), stream);
         const answers = await Promise.all([fixture.chat(), fixture.chat(), fixture.chat()]);
         for (const answer of answers) {
             assert.match(answer.text, /t0 t4 t5 t6 /);
@@ -143,12 +143,12 @@
     });
 
     for (const [fault, answer] of faults) {
-        it(`give no wrong answer where one ${fault}, and serve when it behaves again`, async () => {
+        it(`cause no wrong answer if one ${fault}, and serve after it recovers`, async () => {
             let batches = 0;
-            // Answers well after some time, so that the request ends.
+            // Answers correctly after six batches, so that the request ends.
             answerPasses = (passes, stream) => {
                 batches += 1;
-                (batches > 6 ? answerWell : answer)(passes, stream);
+                (batches > 6 ? answerCorrectly : answer)(passes, stream);
             };
             const text = (await fixture.chat()).text;
             assert.match(text, /t0 t4 t5 t6 |"outcome":"failed"|"outcome":"notRun"/);
@@ -156,7 +156,7 @@
         });
     }
 
-    it("may show a status of a wrong shape", async () => {
+    it("may return an invalid status", async () => {
         for (const wrong of ["nonsense", "{}", "[]", "null", JSON.stringify({ ...status, layers: "all" })]) {
             statusBody = wrong;
             await new Promise(resolve => setTimeout(resolve, 600));
@@ -165,7 +165,7 @@
         statusBody = JSON.stringify(status);
     });
 
-    it("never make a node read a status without end", async () => {
+    it("cannot make a node read an endless status", async () => {
         const maximumBytes = 64 * 1024 * 1024;
         let sentBytes = 0;
         const isCutOff = await new Promise<boolean>(resolve => {
@@ -195,6 +195,6 @@
             };
         });
         raw.options = { onRequest: answerRequest };
-        assert.ok(isCutOff, `The node has read ${sentBytes} bytes of one status.`);
+        assert.ok(isCutOff, `The node read ${sentBytes} bytes of one status.`);
     });
 });
