--- a/src/request/chain/estimatedTimeChooser.ts
+++ b/src/request/chain/estimatedTimeChooser.ts
@@ -7,12 +7,12 @@
 import type { ChainChooser, ChainOptions, LoadReport, PassObservation } from "./chainChooser.ts";
 import { ChainFleet } from "./chainFleet.ts";
 import type { NoChainError } from "./noChainError.ts";
+import { PrefixIndex } from "./prefixIndex.ts";
+import type { SelectCandidates } from "./selectCandidates.ts";
 import { selectRandomCandidates } from "./selectRandomCandidates.ts";
 
 /** Number of random candidates per interval of layers. See docs/design/chains.md. */
 const candidatesPerInterval = 6;
-import { PrefixIndex } from "./prefixIndex.ts";
-import type { SelectCandidates } from "./selectCandidates.ts";
 
 /** Options of an {@link EstimatedTimeChooser}. */
 export interface EstimatedTimeChooserOptions {
