--- a/src/request/relay/answerHead.ts
+++ b/src/request/relay/answerHead.ts
@@ -1,16 +1,16 @@
-/** What the head of an endpoint's answer says. */
+/** Status and evaluated headers of an endpoint's answer. */
 export interface AnswerHead {
     status: number;
-    /** Headers that go on to the caller, names and values by turns. */
+    /** Headers to forward to the caller, as alternating names and values. */
     headers: string[];
-    /** Whether the answer names the request that it belongs to. */
+    /** Whether the answer carries the id of this request. */
     isForRequest: boolean;
-    /** Whether the answer carries the endpoint's signature, without which a success is none. */
+    /** Whether the answer carries the endpoint's signature. A success without it counts as a failure. */
     isSigned: boolean;
-    /** Whether the endpoint promises that it has not run the request. */
+    /** Whether the endpoint guarantees that it has not run the request. */
     isNotRun: boolean;
-    /** host:port of the endpoint of a chain that is at fault, where the answer names one. */
+    /** host:port of the endpoint of the chain that caused the failure, if the answer names one. */
     faultyAddress: string | undefined;
-    /** Requests a second that the endpoint takes from all nodes together for now; undefined where it names no limit. */
+    /** Current rate limit of the endpoint for all nodes together, in requests per second; undefined if it states none. */
     requestsPerSecond: number | undefined;
 }
--- a/src/request/relay/answerSink.ts
+++ b/src/request/relay/answerSink.ts
@@ -1,17 +1,17 @@
 import type { AnswerHead } from "./answerHead.ts";
 import type { RelayRefusal } from "./relayRefusal.ts";
 
-/** Where the answer to a caller goes. Ends with exactly one of `end`, `refuse` and `cut`. */
+/** Destination of the answer to a caller. Exactly one of `end`, `refuse` and `cut` must be called last. */
 export interface AnswerSink {
-    /** Calls back once the caller goes before its answer has ended. */
+    /** Registers a callback for when the caller disconnects before its answer has ended. */
     onClosed(callback: () => void): void;
-    /** Begins the answer with an endpoint's status and headers. */
+    /** Starts the answer with an endpoint's status and headers. */
     writeHead(head: AnswerHead): void;
     write(chunk: Buffer): void;
     /** Ends the answer as complete. */
     end(): void;
-    /** Answers with a refusal; only before the head was written. */
+    /** Answers with a refusal. Only allowed before the head is written. */
     refuse(refusal: RelayRefusal): void;
-    /** Breaks the answer off so that it can't be taken for a complete one. */
+    /** Aborts the answer in a way that the caller can't mistake for its end. */
     cut(): void;
 }
--- a/src/request/relay/chooseEndpoint.ts
+++ b/src/request/relay/chooseEndpoint.ts
@@ -1,17 +1,17 @@
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
 
-/** A failing endpoint costs up to this many times what a sound one does. */
+/** An endpoint that always fails costs `1 + failureWeight` times as much as one that never does. */
 const failureWeight = 8;
-/** An endpoint of another data centre costs this much more, as a part of a place: two crossings against its work. */
-const crossingCost = 0.1;
-/** Makes nodes that decide at the same moment differ; in parts of a place. */
-const noise = 0.15;
+/** Cost of an endpoint in another data centre, as a load: the request and its answer cross the link between them. */
+const crossDataCentreCost = 0.1;
+/** Maximum random cost, as a load, so that nodes that choose at the same moment don't all choose the same endpoint. */
+const maximumNoiseCost = 0.15;
 
 /**
- * Chooses the endpoint of a document service with the least load for its places, weighed by how often it failed lately.
- * An endpoint that is taken as lost is chosen only where there is no other.
- * @param environment - Loads and health.
+ * Chooses the endpoint of a document service with the least cost: its load per slot, weighted by its recent failures and its
+ * slowness. Suspect endpoints are chosen only if there are no others.
+ * @param environment - Provides the loads and the health of endpoints.
  * @param endpoints - Endpoints to choose from.
  */
 export function chooseEndpoint(
@@ -19,10 +19,10 @@
     endpoints: readonly RegisteredEndpoint[],
 ): RegisteredEndpoint | undefined {
     const now = environment.clock.getMonotonicTime();
-    const sound = endpoints.filter(({ id }) => !environment.health.isSuspect(id, now));
+    const healthy = endpoints.filter(({ id }) => !environment.health.isSuspect(id, now));
     let best: RegisteredEndpoint | undefined;
     let bestCost = Infinity;
-    for (const endpoint of sound.length > 0 ? sound : endpoints) {
+    for (const endpoint of healthy.length > 0 ? healthy : endpoints) {
         const cost = getCost(environment, endpoint, now);
         if (cost < bestCost) {
             bestCost = cost;
@@ -34,9 +34,9 @@
 
 function getCost(environment: RelayEnvironment, endpoint: RegisteredEndpoint, now: number): number {
     const { requests } = environment.loads.getLoad(endpoint.id);
-    const failures = environment.health.getFailureShare(endpoint.id, now);
-    const crossing = endpoint.dataCentre === environment.dataCentre ? 0 : crossingCost;
+    const failureShare = environment.health.getFailureShare(endpoint.id, now);
+    const linkCost = endpoint.dataCentre === environment.dataCentre ? 0 : crossDataCentreCost;
     const load = (requests + 1) / Math.max(1, endpoint.slots);
-    return load * (1 + failureWeight * failures) * environment.directory.getSlowness(endpoint.id) + crossing
-        + noise * environment.random();
+    return load * (1 + failureWeight * failureShare) * environment.directory.getSlowness(endpoint.id) + linkCost
+        + maximumNoiseCost * environment.random();
 }
--- a/src/request/relay/chooseSoundStages.ts
+++ b/src/request/relay/chooseSoundStages.ts
@@ -5,24 +5,25 @@
 import type { StageQuery } from "./stageQuery.ts";
 
 /**
- * Chooses a chain of endpoints that are not taken as lost. One that is may be back, so it is tried where no chain can do
- * without it; but not because the others are full just now, since room comes free sooner than a lost endpoint is found
- * lost again.
+ * Chooses a chain of endpoints that are not suspect. Suspect endpoints may have recovered, so they are tried if no chain is
+ * possible without them. They are not tried only because the healthy endpoints are full: memory becomes free sooner than a
+ * failed endpoint is detected again.
  * @param query - The request.
  * @param candidates - Endpoints that hold layers.
- * @param random - Source of the noise that sets nodes apart.
- * @returns The stages; undefined where there are none, or where the request should wait for room.
+ * @param random - Source of the noise that makes nodes choose differently.
+ * @returns The stages; undefined if there is no chain, or if the request should wait for free memory.
  */
 export function chooseSoundStages(
     query: StageQuery,
     candidates: readonly StageCandidate[],
     random: RandomSource,
 ): RelayStage[] | undefined {
-    const sound = candidates.filter(({ isSuspect }) => !isSuspect);
-    const stages = chooseStages(query, sound, random);
-    if (stages !== undefined || sound.length === candidates.length) {
+    const healthy = candidates.filter(({ isSuspect }) => !isSuspect);
+    const stages = chooseStages(query, healthy, random);
+    if (stages !== undefined || healthy.length === candidates.length) {
         return stages;
     }
-    const isOnlyFull = !query.mayOverfill && chooseStages({ ...query, mayOverfill: true }, sound, random) !== undefined;
+    const isOnlyFull = !query.mayOverfill
+        && chooseStages({ ...query, mayOverfill: true }, healthy, random) !== undefined;
     return isOnlyFull ? undefined : chooseStages(query, candidates, random);
 }
--- a/src/request/relay/chooseStages.ts
+++ b/src/request/relay/chooseStages.ts
@@ -5,7 +5,7 @@
 import type { StageCandidate } from "./stageCandidate.ts";
 import type { StageQuery } from "./stageQuery.ts";
 
-/** A partial chain that ends at a layer. */
+/** Chain of stages that covers the layers up to a given one. */
 interface PartialChain {
     cost: number;
     candidate: StageCandidate | undefined;
@@ -13,37 +13,37 @@
     previous: PartialChain | undefined;
 }
 
-/** A chain may cost up to this part more than the best one and be chosen: nodes that decide apart then differ. */
-const randomPart = 0.08;
-/** Above this part of an endpoint's memory its cost rises, so that requests go elsewhere before it is full. */
-const easyMemoryPart = 0.55;
-const memorySteepness = 6;
-/** Beyond the whole memory the engine gives requests up in mid-stream; such a stage is the last resort. */
-const overfullCost = 100_000;
+/** Maximum random increase of a chain's cost, as a fraction, so that nodes don't all choose the same chain. */
+const maximumNoiseFraction = 0.08;
+/** The cost of an endpoint rises above this fraction of used memory, so that requests go elsewhere before it is full. */
+const memoryPenaltyThreshold = 0.55;
+const memoryPenaltyFactor = 6;
+/** Cost of a stage without enough memory, chosen only as a last resort: its engine would abort requests in mid-stream. */
+const insufficientMemoryCostMilliseconds = 100_000;
 /**
- * A first stage in another data centre makes the answer's events cross, which is paid for by the byte but hardly slower;
- * it is taken only where the near ones have clearly more to do.
+ * Cost of a first stage in another data centre. The events of the answer then cross the link, which is hardly slower but is
+ * charged by the byte. Such a stage is chosen only if the local ones are clearly more loaded.
  */
-const entryCrossingMilliseconds = 80;
+const remoteFirstStageMilliseconds = 80;
 /**
- * A first stage without an open connection takes a handshake and a place among the connections that the endpoint accepts from all
- * nodes. Without this the noise alone has each of many nodes open connections to all first stages.
+ * Cost of a first stage without an open connection: it takes a handshake and one of the connections that the endpoint accepts
+ * from all nodes. Without this cost, the random noise would make every node open connections to all first stages.
  */
-const openingMilliseconds = 100;
-/** A token waits behind the prompts of others as long as it travels. */
-const delaysOfToken = 2;
-/** A slow way adds to a whole answer about so many times what it adds to the first event. */
-const delaysOfAnswer = 10;
-/** Above this use of the pipes the estimate grows no further. */
-const mostPipeUse = 0.9;
+const connectMilliseconds = 100;
+/** Each token waits behind the prompts of other requests about as long as it travels: its delay counts twice. */
+const delaysPerToken = 2;
+/** A slow link delays a whole answer about this many times as much as its first event. */
+const delaysPerAnswer = 10;
+/** Utilization of the links, 0 to 1, above which the estimated delay grows no further. */
+const maximumLinkUtilization = 0.9;
 
 /**
- * Chooses the chain with the least estimated time, by dynamic programming over the layers. Chains whose stages use all
- * of what the endpoints hold are looked at first; parts of held ranges only where there is no such chain.
+ * Chooses the chain with the least estimated time, by dynamic programming over the layers. First searches chains whose stages
+ * run all layers that their endpoints hold. If there are none, stages may also run parts of the held layers.
  * @param query - The request.
  * @param candidates - Endpoints that may be used.
- * @param random - Source of the noise that sets nodes apart.
- * @returns Stages that run each layer once and in order; undefined where there are none.
+ * @param random - Source of the noise that makes nodes choose differently.
+ * @returns Stages that run each layer once and in order; undefined if there is no chain.
  */
 export function chooseStages(
     query: StageQuery,
@@ -57,44 +57,44 @@
     query: StageQuery,
     candidates: readonly StageCandidate[],
     random: RandomSource,
-    mayUseParts: boolean,
+    mayUsePartialRanges: boolean,
 ): RelayStage[] | undefined {
     const { model, firstStage } = query;
     const ends = getEnds(candidates);
-    const begin: PartialChain = { cost: 0, candidate: undefined, start: 0, previous: undefined };
-    const chainsByEnd = new Map<number, Map<string, PartialChain>>([[0, new Map([[query.dataCentre, begin]])]]);
-    for (const at of [0, ...ends]) {
-        const chains = chainsByEnd.get(at);
-        if (chains === undefined || at >= model.layers) {
+    const emptyChain: PartialChain = { cost: 0, candidate: undefined, start: 0, previous: undefined };
+    const chainsByEnd = new Map<number, Map<string, PartialChain>>([[0, new Map([[query.dataCentre, emptyChain]])]]);
+    for (const layer of [0, ...ends]) {
+        const chains = chainsByEnd.get(layer);
+        if (chains === undefined || layer >= model.layers) {
             continue;
         }
         for (const candidate of candidates) {
             const { start, end } = candidate.layers;
-            if (at === 0 && firstStage !== undefined && candidate.endpoint.id !== firstStage.endpoint.id) {
+            if (layer === 0 && firstStage !== undefined && candidate.endpoint.id !== firstStage.endpoint.id) {
                 continue;
             }
-            if (!query.mayOverfill && !hasRoom(query, candidate, end - start)) {
+            if (!query.mayOverfill && !hasFreeMemory(query, candidate, end - start)) {
                 continue;
             }
-            if (mayUseParts ? start > at || end <= at : start !== at) {
+            if (mayUsePartialRanges ? start > layer || end <= layer : start !== layer) {
                 continue;
             }
-            const chain = extendChain(query, chains, candidate, at);
+            const chain = extendChain(query, chains, candidate, layer);
             if (chain === undefined) {
                 continue;
             }
-            chain.cost *= 1 + randomPart * random();
-            for (const stop of getStops(query, candidate, at, ends, mayUseParts)) {
-                keepBest(
+            chain.cost *= 1 + maximumNoiseFraction * random();
+            for (const stageEnd of getPossibleEnds(query, candidate, layer, ends, mayUsePartialRanges)) {
+                keepCheapest(
                     chainsByEnd,
-                    stop,
+                    stageEnd,
                     candidate.endpoint.dataCentre,
-                    scaleChain(query, chain, candidate, at, stop),
+                    addStageCost(query, chain, candidate, layer, stageEnd),
                 );
             }
         }
     }
-    return toStages(getBest(chainsByEnd.get(model.layers)), model.layers);
+    return toStages(findCheapest(chainsByEnd.get(model.layers)), model.layers);
 }
 
 function getEnds(candidates: readonly StageCandidate[]): number[] {
@@ -107,46 +107,46 @@
     return [...ends].sort((left, right) => left - right);
 }
 
-/** Gets the layers at which a stage from `at` on may stop. */
-function getStops(
+/** Gets the layers at which a stage that starts at `layer` may end. */
+function getPossibleEnds(
     { firstStage }: StageQuery,
     { layers }: StageCandidate,
-    at: number,
+    layer: number,
     ends: readonly number[],
-    mayUseParts: boolean,
+    mayUsePartialRanges: boolean,
 ): number[] {
-    if (at === 0 && firstStage !== undefined) {
+    if (layer === 0 && firstStage !== undefined) {
         return [firstStage.end];
     }
-    return mayUseParts ? ends.filter(end => end > at && end <= layers.end) : [layers.end];
+    return mayUsePartialRanges ? ends.filter(end => end > layer && end <= layers.end) : [layers.end];
 }
 
-/** Gets the cheapest chain that ends at `at` and goes on at a candidate; its cost holds all but the stage itself. */
+/** Extends the cheapest chain that ends at `layer` by a candidate. The cost doesn't include the time of the new stage itself. */
 function extendChain(
     query: StageQuery,
     chains: ReadonlyMap<string, PartialChain>,
     candidate: StageCandidate,
-    at: number,
+    layer: number,
 ): PartialChain | undefined {
     let best: PartialChain | undefined;
     for (const [dataCentre, previous] of chains) {
         const { dataCentre: to } = candidate.endpoint;
-        // A caller's way to the first stage needs no pipe.
-        const pipeWait = at === 0 || dataCentre === to ? 0 : query.getPipeWait(dataCentre, to);
-        if (pipeWait > 0 && !query.mayOverfill) {
+        // Requests to the first stage don't count against this node's share of the link.
+        const linkWait = layer === 0 || dataCentre === to ? 0 : query.getPipeWait(dataCentre, to);
+        if (linkWait > 0 && !query.mayOverfill) {
             continue;
         }
-        const crossing = dataCentre === to ? 0 : getCrossingCost(query, at, dataCentre, to) + pipeWait;
-        const opening = at === 0 && !query.isConnected(candidate.endpoint.address) ? openingMilliseconds : 0;
-        const cost = previous.cost + crossing + opening;
-        if (!hasEndpoint(previous, candidate) && (best === undefined || cost < best.cost)) {
-            best = { cost, candidate, start: at, previous };
+        const linkCost = dataCentre === to ? 0 : getLinkCost(query, layer, dataCentre, to) + linkWait;
+        const connectCost = layer === 0 && !query.isConnected(candidate.endpoint.address) ? connectMilliseconds : 0;
+        const cost = previous.cost + linkCost + connectCost;
+        if (!includesEndpoint(previous, candidate) && (best === undefined || cost < best.cost)) {
+            best = { cost, candidate, start: layer, previous };
         }
     }
     return best;
 }
 
-function scaleChain(
+function addStageCost(
     query: StageQuery,
     chain: PartialChain,
     candidate: StageCandidate,
@@ -156,7 +156,7 @@
     return { ...chain, cost: chain.cost + getStageCost(query, candidate, end - start) };
 }
 
-/** Gets the time that a stage adds to a whole answer, in milliseconds, made dearer as its memory fills. */
+/** Gets the cost of a stage: the milliseconds that it adds to a whole answer, increased as the endpoint's memory fills. */
 function getStageCost(query: StageQuery, candidate: StageCandidate, layers: number): number {
     const { model, promptTokens, answerTokens } = query;
     const work = {
@@ -166,22 +166,22 @@
         slowness: candidate.slowness,
     };
     const time = estimateAnswer(model, work, promptTokens, answerTokens);
-    const part = getMemoryPart(query, candidate, layers);
-    if (part > 1) {
-        return time + overfullCost * part;
+    const usedFraction = getUsedMemoryFraction(query, candidate, layers);
+    if (usedFraction > 1) {
+        return time + insufficientMemoryCostMilliseconds * usedFraction;
     }
-    const excess = Math.max(0, part - easyMemoryPart) / (1 - easyMemoryPart);
-    return time * (1 + memorySteepness * excess * excess);
+    const excess = Math.max(0, usedFraction - memoryPenaltyThreshold) / (1 - memoryPenaltyThreshold);
+    return time * (1 + memoryPenaltyFactor * excess * excess);
 }
 
-/** Gets the part of an endpoint's memory that is taken with the request. */
-function getMemoryPart(query: StageQuery, candidate: StageCandidate, layers: number): number {
+/** Gets the fraction of an endpoint's memory that is used once it runs the request. */
+function getUsedMemoryFraction(query: StageQuery, candidate: StageCandidate, layers: number): number {
     return (candidate.tokenLayers + getNeededMemory(query, layers)) / Math.max(1, candidate.totalTokenLayers);
 }
 
-function hasRoom(query: StageQuery, candidate: StageCandidate, layers: number): boolean {
-    const spare = query.sparePart * candidate.totalTokenLayers;
-    return getNeededMemory(query, layers) + spare <= candidate.roomTokenLayers;
+function hasFreeMemory(query: StageQuery, candidate: StageCandidate, layers: number): boolean {
+    const reserved = query.sparePart * candidate.totalTokenLayers;
+    return getNeededMemory(query, layers) + reserved <= candidate.roomTokenLayers;
 }
 
 /** Gets the memory that the request needs at a stage, in tokens times layers. */
@@ -190,21 +190,21 @@
 }
 
 /**
- * Gets the time that a crossing between data centres adds to a whole answer, in milliseconds. All chains share the pipes, so it grows
- * with their use.
+ * Gets the time that a link between data centres adds to a whole answer, in milliseconds. It grows with the utilization of the
+ * links, since all chains share them.
  */
-function getCrossingCost(query: StageQuery, at: number, from: string, to: string): number {
+function getLinkCost(query: StageQuery, layer: number, from: string, to: string): number {
     const { model, promptTokens, answerTokens, pipeUse } = query;
-    if (at === 0) {
-        return entryCrossingMilliseconds;
+    if (layer === 0) {
+        return remoteFirstStageMilliseconds;
     }
     const transfer = getTransferTime(model, promptTokens + answerTokens);
-    const waiting = 1 - Math.min(pipeUse, mostPipeUse);
-    const usual = (transfer + delaysOfToken * answerTokens * model.crossingMilliseconds) / waiting;
-    return usual + delaysOfAnswer * query.getCrossingDelay(from, to);
+    const availability = 1 - Math.min(pipeUse, maximumLinkUtilization);
+    const expected = (transfer + delaysPerToken * answerTokens * model.crossingMilliseconds) / availability;
+    return expected + delaysPerAnswer * query.getCrossingDelay(from, to);
 }
 
-function hasEndpoint(chain: PartialChain | undefined, candidate: StageCandidate): boolean {
+function includesEndpoint(chain: PartialChain | undefined, candidate: StageCandidate): boolean {
     for (let part = chain; part !== undefined; part = part.previous) {
         if (part.candidate?.endpoint.id === candidate.endpoint.id) {
             return true;
@@ -213,7 +213,7 @@
     return false;
 }
 
-function keepBest(
+function keepCheapest(
     chainsByEnd: Map<number, Map<string, PartialChain>>,
     end: number,
     dataCentre: string,
@@ -227,7 +227,7 @@
     }
 }
 
-function getBest(chains: ReadonlyMap<string, PartialChain> | undefined): PartialChain | undefined {
+function findCheapest(chains: ReadonlyMap<string, PartialChain> | undefined): PartialChain | undefined {
     let best: PartialChain | undefined;
     for (const chain of chains?.values() ?? []) {
         if (best === undefined || chain.cost < best.cost) {
--- a/src/request/relay/createEndpointKey.ts
+++ b/src/request/relay/createEndpointKey.ts
@@ -1,8 +1,8 @@
 /**
- * Creates what an endpoint is known by here: its registered id and its start. Whatever is believed of an endpoint is kept
- * under this key, here and in what peers tell, so that nothing of an earlier start is taken for the present one.
+ * Creates the key of an endpoint from its registered id and its start time. This node and its peers keep all state of an
+ * endpoint under this key, so that state of an earlier incarnation isn't applied to the current one.
  * @param registeredId - Id in its record.
- * @param incarnation - When it started, in Unix milliseconds; 0 where it doesn't say.
+ * @param incarnation - Start time of the endpoint in Unix milliseconds; 0 if unknown.
  */
 export function createEndpointKey(registeredId: string, incarnation: number): string {
     return incarnation === 0 ? registeredId : `${registeredId}@${incarnation}`;
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -3,39 +3,42 @@
 import type { RelayEnvironment } from "./relayEnvironment.ts";
 import type { RelayTask } from "./relayTask.ts";
 
-/** What a request asks to be started with. */
+/** Options of {@link createQueuedRelay}. */
 interface QueuedRelayOptions extends Pick<QueuedRelay, "start" | "refuse"> {
     environment: RelayEnvironment;
     task: RelayTask;
     chains: RelayChains;
-    /** Ids of endpoints that its chain does without; may grow. */
+    /** Ids of endpoints that the chain must not use; may grow while the request waits. */
     avoided: ReadonlySet<string>;
-    /** Whether an endpoint got it before, which the budget of repeats bounds. */
+    /** Whether the request was sent to an endpoint before, so that starting it needs the retry budget. */
     isRepeat: boolean;
 }
 
 /**
- * A request waits for room at most this long: its first event then still comes before its caller leaves. A late answer is worth
- * more to callers than a refusal.
+ * Maximum time that a request waits for free memory. Its first event then still comes before the caller gives up, and a late
+ * answer is worth more to callers than a refusal.
  */
-const longestWaitMilliseconds = 1_200;
-/** Callers honour a time to come back of up to this part of the time that they have left. */
-const returnPart = 1 / 3;
-/** At most this part of the objective is kept for the way to the first event; the rest may be waited. */
-const longestReservePart = 0.6;
+const maximumWaitMilliseconds = 1_200;
+/** Callers follow a retry delay of up to this fraction of the time that they have left. */
+const maximumRetryDelayFraction = 1 / 3;
+/** Maximum fraction of the latency objective that is reserved for the first event; the rest may be spent in the queue. */
+const maximumReserveFraction = 0.6;
 /**
- * A request that is late already leaves this part of each endpoint's memory to those that can still be served in time: it
- * would come back, or find room at once, just as often as they do, and the room is then spent on late answers.
+ * Fraction of each endpoint's memory that a late request leaves free for requests that can still be served in time. Late
+ * requests would otherwise be retried or started just as often as those, and the memory would be spent on late answers.
  */
-const latePart = 0.2;
+const reservedFractionForTimely = 0.2;
 
-/** Creates what the queue needs to know of a request for a chain: how long it may wait, and how it takes its place. */
+/** Creates the queue entry of a request for a chain, which states how long it may wait and how it is started. */
 export function createQueuedRelay(options: QueuedRelayOptions): QueuedRelay {
     const { environment, task, chains, avoided, isRepeat, start, refuse } = options;
     const { request, route, customer, rank, isReturn, dueAt } = task;
     const { clock, firstEvents, repeats } = environment;
-    const reserve = Math.min(firstEvents.getExpected(), route.objectiveMilliseconds * longestReservePart);
-    const timelyUntil = isReturn ? -Infinity : request.arrivedAt + route.objectiveMilliseconds - reserve;
+    const reservedMilliseconds = Math.min(
+        firstEvents.getExpected(),
+        route.objectiveMilliseconds * maximumReserveFraction,
+    );
+    const timelyUntil = isReturn ? -Infinity : request.arrivedAt + route.objectiveMilliseconds - reservedMilliseconds;
     const closed = new Set<string>();
     environment.limits.noteRequest(task.service.name, clock.getMonotonicTime());
     return {
@@ -44,11 +47,11 @@
         customer,
         cost: chains.getTokens(),
         timelyUntil,
-        waitsUntil: Math.min(request.arrivedAt + longestWaitMilliseconds, dueAt),
-        longestReturnMilliseconds: (dueAt - request.arrivedAt) * returnPart,
+        waitsUntil: Math.min(request.arrivedAt + maximumWaitMilliseconds, dueAt),
+        longestReturnMilliseconds: (dueAt - request.arrivedAt) * maximumRetryDelayFraction,
         takePlace: () => {
             const now = clock.getMonotonicTime();
-            const sparePart = now > timelyUntil ? latePart : 0;
+            const sparePart = now > timelyUntil ? reservedFractionForTimely : 0;
             const stages = chains.chooseOpen({ avoid: avoided, mayOverfill: false, sparePart, closed });
             if (stages === undefined) {
                 return undefined;
--- a/src/request/relay/createRefusal.ts
+++ b/src/request/relay/createRefusal.ts
@@ -2,22 +2,23 @@
 import { RefusalReason } from "./refusalReason.ts";
 import type { RelayRefusal } from "./relayRefusal.ts";
 
-/** A retry that comes sooner meets the same state: endpoints and peers report a few times a second. */
-const retryMilliseconds = 300;
+/** Endpoints and peers report their state a few times a second: an earlier retry would see the same state. */
+const defaultRetryAfterMilliseconds = 300;
 
-/** Creates the answers of requests that no endpoint answered. */
+/** Creates the refusals of requests that got no answer from an endpoint. */
 export const createRefusal = {
     /** No endpoint has run the request. */
-    notRun: (cause: string, retryAfterMilliseconds: number = retryMilliseconds): RelayRefusal => ({
+    notRun: (cause: string, retryAfterMilliseconds: number = defaultRetryAfterMilliseconds): RelayRefusal => ({
         reason: RefusalReason.NotRun,
-        message: `The request was not run: ${cause} Send it again after the time given.`,
+        message: `The request was not run: ${cause} Send it again after the given time.`,
         retryAfterMilliseconds,
     }),
-    /** Endpoints ended while they ran the same request, so that it isn't run again for some time. */
+    /** The request is quarantined for some time, since endpoints crashed while they ran it. */
     heldBack: ({ endpointIds, remainingMilliseconds }: RequestHold): RelayRefusal => ({
         reason: RefusalReason.HeldBack,
-        message: `The request was not run: ${endpointIds.length} endpoints ended while they ran the same one before.`
-            + " Change it, or send it again after the time given.",
+        message:
+            `The request was not run: ${endpointIds.length} endpoints failed while they ran the same request before.`
+            + " Change it, or send it again after the given time.",
         retryAfterMilliseconds: remainingMilliseconds,
     }),
     /** An endpoint may have run the request. */
@@ -25,10 +26,9 @@
         reason: RefusalReason.OutcomeUnknown,
         message: `The request may have run: ${cause} Check its effect before you send it again.`,
     }),
-    /** The time is over. */
+    /** The route's time limit has passed. */
     timedOut: (): RelayRefusal => ({
         reason: RefusalReason.TimedOut,
-        message:
-            "The answer did not come within the route's time. Check the request's effect before you send it again.",
+        message: "The request timed out and may have run. Check its effect before you send it again.",
     }),
 };
--- a/src/request/relay/crossing.ts
+++ b/src/request/relay/crossing.ts
@@ -1,4 +1,4 @@
-/** A way between data centres that a chain's tokens take. */
+/** A link from one data centre to another. */
 export interface Crossing {
     from: string;
     to: string;
--- a/src/request/relay/crossingDelays.ts
+++ b/src/request/relay/crossingDelays.ts
@@ -2,64 +2,64 @@
 import { formatCrossing } from "./formatCrossing.ts";
 import { listCrossings } from "./listCrossings.ts";
 
-/** What was seen of the crossings from one data centre to another. */
-interface CrossingRecord {
-    /** Moving average of the time that a crossing adds to a first event, in milliseconds. */
-    extraMilliseconds: number;
+/** Measured delay of the link from one data centre to another. */
+interface LinkRecord {
+    /** Moving average of the time that the link adds to a first event, in milliseconds. */
+    delayMilliseconds: number;
     updatedAt: number;
 }
 
-/** Weight of the newest stream in the averages. */
+/** Weight of the newest stream in the moving averages. */
 const newestWeight = 0.25;
-/** A delay halves in this time without new streams, so that a slow way is tried again. */
-const forgettingMilliseconds = 4_000;
+/** Half-life of a delay without new streams, after which a slow link is tried again. */
+const halfLifeMilliseconds = 4_000;
 
 /**
- * How much later first events come over each way between data centres than without a crossing. A way that has become slow
- * is found so, whatever the cause: the engines' figures and the use of the pipes know nothing of it.
+ * Tracks how much later first events come over each link between data centres than within one. This detects slow links
+ * whatever the cause, also where neither the engines' figures nor the utilization of the links show it.
  */
 export class CrossingDelays {
-    private readonly records = new Map<string, CrossingRecord>();
-    /** Moving average of the time to the first event without a crossing, in milliseconds. */
-    private withoutCrossing: number | undefined;
+    private readonly records = new Map<string, LinkRecord>();
+    /** Moving average of the time to the first event within a data centre, in milliseconds. */
+    private millisecondsWithinDataCentre: number | undefined;
 
     private constructor() {}
 
-    /** Creates a record in which no crossing adds anything. */
+    /** Creates an instance in which no link adds a delay. */
     static create(): CrossingDelays {
         return new CrossingDelays();
     }
 
     /**
-     * Notes how long a first event took, or has taken so far where it hasn't come.
+     * Records the time to the first event of a stream, or the time waited so far if it hasn't come.
      * @param dataCentres - Data centres of the chain's stages, in order.
      * @param milliseconds - Time since the request was sent.
      * @param now - Monotonic time in milliseconds.
      */
     note(dataCentres: readonly string[], milliseconds: number, now: number): void {
-        const ways = listCrossings(dataCentres).map(({ from, to }) => formatCrossing(from, to));
-        if (ways.length === 0) {
-            const known = this.withoutCrossing ?? milliseconds;
-            this.withoutCrossing = known + newestWeight * (milliseconds - known);
+        const links = listCrossings(dataCentres).map(({ from, to }) => formatCrossing(from, to));
+        if (links.length === 0) {
+            const average = this.millisecondsWithinDataCentre ?? milliseconds;
+            this.millisecondsWithinDataCentre = average + newestWeight * (milliseconds - average);
             return;
         }
-        const extra = Math.max(0, milliseconds - (this.withoutCrossing ?? milliseconds)) / ways.length;
-        for (const way of ways) {
-            const known = this.getExtraOfWay(way, now);
-            this.records.set(way, { extraMilliseconds: known + newestWeight * (extra - known), updatedAt: now });
+        const delay = Math.max(0, milliseconds - (this.millisecondsWithinDataCentre ?? milliseconds)) / links.length;
+        for (const link of links) {
+            const average = this.getDelayOfLink(link, now);
+            this.records.set(link, { delayMilliseconds: average + newestWeight * (delay - average), updatedAt: now });
         }
     }
 
-    /** Gets the time that a crossing adds to a first event, in milliseconds. */
+    /** Gets the time that a link adds to a first event, in milliseconds. */
     getExtra(from: string, to: string, now: number): number {
-        return this.getExtraOfWay(formatCrossing(from, to), now);
+        return this.getDelayOfLink(formatCrossing(from, to), now);
     }
 
-    private getExtraOfWay(way: string, now: number): number {
-        const record = this.records.get(way);
+    private getDelayOfLink(link: string, now: number): number {
+        const record = this.records.get(link);
         if (record === undefined) {
             return 0;
         }
-        return forget(record.extraMilliseconds, now - record.updatedAt, forgettingMilliseconds);
+        return forget(record.delayMilliseconds, now - record.updatedAt, halfLifeMilliseconds);
     }
 }
--- a/src/request/relay/documentRelay.ts
+++ b/src/request/relay/documentRelay.ts
@@ -19,7 +19,7 @@
 import { sendWholeAnswer } from "./sendWholeAnswer.ts";
 import type { WholeAnswer } from "./wholeAnswer.ts";
 
-/** One sending of the request to one endpoint. */
+/** An attempt to run the request at an endpoint. */
 interface Attempt {
     endpoint: RegisteredEndpoint;
     sentAt: number;
@@ -29,43 +29,43 @@
     chunks: Buffer[];
 }
 
-/** Why an attempt brought no answer that can be passed on. */
+/** Why an attempt ended without an answer that can be forwarded. */
 interface AttemptEnd {
-    /** Whether the endpoint has surely not run the request. */
+    /** Whether it is certain that the endpoint has not run the request. */
     isNotRun: boolean;
-    /** Whether no byte of it was sent. */
+    /** Whether no byte of the request was sent. */
     isUnsent?: boolean;
     cause: string;
-    /** A failure of the endpoint itself, which is passed on where nothing better comes. */
+    /** The endpoint's error response, which is forwarded if no other attempt succeeds. */
     answer?: WholeAnswer;
 }
 
 /**
- * A request that may be repeated is sent to a second endpoint when this part of its objective is over without an answer;
- * the first answer counts. Nearly all are answered before.
+ * Fraction of the latency objective after which an unanswered idempotent request is hedged: it is also sent to a second
+ * endpoint, and the first answer is used. Nearly all requests are answered before.
  */
-const hedgePart = 0.6;
-/** Connections that were idle for longer may have gone silent; a request that can't be repeated doesn't use them. */
-const freshIdleMilliseconds = 3_000;
+const hedgeFraction = 0.6;
+/** Non-idempotent requests don't use connections that were idle for longer, since these may be dead without notice. */
+const maximumIdleMilliseconds = 3_000;
 const serverErrorStatus = 500;
 
-/** Forwards one request to a document service and answers its caller once. */
+/** Forwards a request to a document service and answers its caller exactly once. */
 export class DocumentRelay {
     private readonly environment: RelayEnvironment;
     private readonly task: RelayTask;
-    private readonly tried = new Set<string>();
-    private readonly running = new Set<Attempt>();
+    private readonly triedIds = new Set<string>();
+    private readonly runningAttempts = new Set<Attempt>();
     private readonly timers: TimerHandle[] = [];
     private readonly onDone: () => void;
     private readonly quarantine: TaskQuarantine;
     private attempts = 0;
     private refusals = 0;
-    /** Attempts of which no byte was sent. */
-    private unsent = 0;
-    /** Monotonic time in milliseconds at which the first byte left for an endpoint. */
+    /** Number of attempts that ended before a byte was sent. */
+    private unsentAttempts = 0;
+    /** Monotonic time in milliseconds at which the first byte was sent to an endpoint. */
     private firstSentAt: number | undefined;
     private mayHaveRun = false;
-    private failure: WholeAnswer | undefined;
+    private failureAnswer: WholeAnswer | undefined;
     private isDone = false;
 
     private constructor(environment: RelayEnvironment, task: RelayTask, onDone: () => void) {
@@ -76,10 +76,10 @@
     }
 
     /**
-     * Starts to forward a request.
-     * @param environment - What relayed requests work with.
+     * Starts forwarding a request.
+     * @param environment - Shared services of relayed requests.
      * @param task - The request.
-     * @param onDone - Called once when the caller has its answer or has gone.
+     * @param onDone - Called once, when the caller was answered or has disconnected.
      */
     static start(environment: RelayEnvironment, task: RelayTask, onDone: () => void): void {
         new DocumentRelay(environment, task, onDone).run();
@@ -89,33 +89,33 @@
         const { environment, task } = this;
         task.sink.onClosed(() => this.finish("callerGone"));
         this.setTimer(task.dueAt - environment.clock.getMonotonicTime(), () => this.expire());
-        this.setTimer(task.route.objectiveMilliseconds * hedgePart, () => this.reviewLate());
+        this.setTimer(task.route.objectiveMilliseconds * hedgeFraction, () => this.handleLateAnswer());
         this.startAttempt("no endpoint of the service is ready.");
     }
 
-    private isRepeatable(): boolean {
+    private isIdempotent(): boolean {
         return this.task.route.kind === RequestKind.Idempotent;
     }
 
-    private startAttempt(cause: string, isRepeat = false): void {
-        if (this.reviewHold(cause)) {
+    private startAttempt(cause: string, isRetry = false): void {
+        if (this.refuseIfQuarantined(cause)) {
             return;
         }
         const { environment, task } = this;
-        const isAllowed = this.attempts - this.unsent < task.route.maximumAttempts
-            || !this.mayHaveRun && this.running.size === 0 && this.refusals <= mostRefusals;
-        const closed = new Set<string>();
-        const endpoint = isAllowed ? this.takeNext(closed) : undefined;
+        const isAllowed = this.attempts - this.unsentAttempts < task.route.maximumAttempts
+            || !this.mayHaveRun && this.runningAttempts.size === 0 && this.refusals <= mostRefusals;
+        const limitedIds = new Set<string>();
+        const endpoint = isAllowed ? this.acquireEndpoint(limitedIds) : undefined;
         if (endpoint === undefined) {
-            this.giveUpForLimits(closed, cause);
+            this.refuseOrGiveUp(limitedIds, cause);
             return;
         }
-        if (isRepeat && !this.takeRepeat()) {
+        if (isRetry && !this.takeRetryFromBudget()) {
             environment.limits.giveBack(endpoint.id);
             this.giveUp(cause);
             return;
         }
-        this.tried.add(endpoint.id);
+        this.triedIds.add(endpoint.id);
         this.attempts += 1;
         const now = environment.clock.getMonotonicTime();
         const reservation = environment.loads.reserveEndpoint(endpoint.id, now);
@@ -127,12 +127,12 @@
             head: undefined,
             chunks: [],
         };
-        this.running.add(attempt);
+        this.runningAttempts.add(attempt);
         this.send(attempt);
     }
 
-    /** Ends the request where it is held back, unless an endpoint still runs it. Returns whether it is. */
-    private reviewHold(cause: string): boolean {
+    /** Gets if the request is quarantined. If so, refuses it unless an endpoint still runs it. */
+    private refuseIfQuarantined(cause: string): boolean {
         const hold = this.quarantine.getHold();
         if (hold !== undefined) {
             this.giveUp(cause, createRefusal.heldBack(hold));
@@ -148,16 +148,16 @@
             const remainingMilliseconds = dueAt - this.getTime();
             return protocol.createRequest(request, { endpoint, customer, remainingMilliseconds, lastEventId: 0 });
         };
-        const idleLimit = this.isRepeatable() ? Infinity : freshIdleMilliseconds;
+        const idleLimit = this.isIdempotent() ? Infinity : maximumIdleMilliseconds;
         attempt.exchange = pools.getPool(endpoint.address).sendForCaller(createRequest, {
-            onHead: (status, headers) => this.takeHead(attempt, status, headers),
+            onHead: (status, headers) => this.handleHead(attempt, status, headers),
             onData: chunk => attempt.chunks.push(chunk),
-            onEnd: () => this.takeAnswer(attempt),
-            onFailure: failure => this.takeFailure(attempt, failure),
+            onEnd: () => this.handleAnswer(attempt),
+            onFailure: failure => this.handleFailure(attempt, failure),
         }, idleLimit);
     }
 
-    private takeHead(attempt: Attempt, status: number, headers: IncomingHttpHeaders): void {
+    private handleHead(attempt: Attempt, status: number, headers: IncomingHttpHeaders): void {
         attempt.head = this.environment.protocol.readHead(status, headers, this.task.request.id);
         if (!attempt.head.isForRequest) {
             attempt.exchange?.abort();
@@ -168,10 +168,10 @@
         this.environment.limits.noteAnswer(attempt.endpoint.id, attempt.head.requestsPerSecond, this.getTime());
     }
 
-    private takeAnswer(attempt: Attempt): void {
+    private handleAnswer(attempt: Attempt): void {
         const { head } = attempt;
         if (head === undefined) {
-            this.endAttempt(attempt, { isNotRun: false, cause: "the endpoint's answer has no head." });
+            this.endAttempt(attempt, { isNotRun: false, cause: "the endpoint's answer has no status and headers." });
             return;
         }
         const now = this.getTime();
@@ -199,7 +199,7 @@
         this.deliver(answer, attempt.endpoint);
     }
 
-    private takeFailure(attempt: Attempt, failure: UpstreamFailure): void {
+    private handleFailure(attempt: Attempt, failure: UpstreamFailure): void {
         const isNotRun = failure.kind === UpstreamFailureKind.NotSent;
         const { health } = this.environment;
         if (isNotRun) {
@@ -212,7 +212,7 @@
         this.endAttempt(attempt, {
             isNotRun,
             isUnsent: isNotRun,
-            cause: `the endpoint's answer is missing (${failure.message}).`,
+            cause: `the exchange with the endpoint failed (${failure.message}).`,
         });
     }
 
@@ -222,8 +222,8 @@
         }
         this.releaseAttempt(attempt);
         this.mayHaveRun ||= !end.isNotRun;
-        this.unsent += end.isUnsent === true ? 1 : 0;
-        this.failure = end.answer ?? this.failure;
+        this.unsentAttempts += end.isUnsent === true ? 1 : 0;
+        this.failureAnswer = end.answer ?? this.failureAnswer;
         this.environment.log.write(events.relayAttemptFailed, {
             request: this.task.request.id,
             endpoint: attempt.endpoint.id,
@@ -233,10 +233,10 @@
             fingerprint: this.task.fingerprint,
             milliseconds: Math.round(this.getTime() - attempt.sentAt),
         });
-        if (this.running.size > 0) {
+        if (this.runningAttempts.size > 0) {
             return;
         }
-        if (end.isNotRun && !this.mayHaveRun || this.isRepeatable()) {
+        if (end.isNotRun && !this.mayHaveRun || this.isIdempotent()) {
             this.startAttempt(end.cause, !end.isUnsent);
             return;
         }
@@ -244,23 +244,23 @@
     }
 
     /**
-     * Looks at a request whose answer is late. One that may be repeated goes to a second endpoint beside the first. Any other
-     * one goes there in place of the first where that has no connection yet, so that it surely hasn't run: connections open
-     * within milliseconds, and one to an endpoint that fell silent would use up the caller's time.
+     * Handles a late answer. An idempotent request is hedged with a second endpoint. Any other request is moved to another
+     * endpoint if the first one has no connection yet, so that it can't have run: connections open within milliseconds, and
+     * waiting for an unresponsive endpoint would use up the caller's time.
      */
-    private reviewLate(): void {
-        if (this.isRepeatable()) {
+    private handleLateAnswer(): void {
+        if (this.isIdempotent()) {
             this.hedge();
             return;
         }
-        for (const attempt of [...this.running]) {
+        for (const attempt of [...this.runningAttempts]) {
             if (attempt.exchange?.getSentTime() === undefined) {
                 attempt.exchange?.abort();
                 this.environment.health.addLoss(attempt.endpoint.id, this.getTime());
                 this.endAttempt(attempt, {
                     isNotRun: true,
                     isUnsent: true,
-                    cause: "the endpoint takes no connection.",
+                    cause: "the endpoint did not accept a connection in time.",
                 });
             }
         }
@@ -272,21 +272,23 @@
         if (this.isDone || !isAllowed || this.listUntried().length === 0) {
             return;
         }
-        for (const attempt of this.running) {
+        for (const attempt of this.runningAttempts) {
             this.environment.health.addFailure(attempt.endpoint.id, this.getTime());
         }
-        this.startAttempt("the endpoint is late.", true);
+        this.startAttempt("the endpoint has not answered in time.", true);
     }
 
     private listUntried(): RegisteredEndpoint[] {
-        return this.environment.directory.getEndpoints(this.task.service.name).filter(({ id }) => !this.tried.has(id));
+        return this.environment.directory.getEndpoints(this.task.service.name).filter(({ id }) =>
+            !this.triedIds.has(id)
+        );
     }
 
     /**
-     * Chooses the endpoint to send to, whose limit leaves the request a place.
-     * @param closed - Takes the ids of those whose limits don't.
+     * Chooses the next endpoint and takes the request out of this node's share of the endpoint's rate limit.
+     * @param limitedIds - Receives the ids of endpoints that were skipped because of their rate limits.
      */
-    private takeNext(closed: Set<string>): RegisteredEndpoint | undefined {
+    private acquireEndpoint(limitedIds: Set<string>): RegisteredEndpoint | undefined {
         const { environment, task } = this;
         const { limits } = environment;
         const now = this.getTime();
@@ -296,25 +298,25 @@
             if (limits.take(next, now)) {
                 return next;
             }
-            closed.add(next.id);
-            untried = untried.filter(({ id }) => !closed.has(id));
+            limitedIds.add(next.id);
+            untried = untried.filter(({ id }) => !limitedIds.has(id));
             next = chooseEndpoint(environment, untried);
         }
         return undefined;
     }
 
-    /** Ends the request where no endpoint is left, or where the limits of those that are left leave it no place. */
-    private giveUpForLimits(closed: ReadonlySet<string>, cause: string): void {
-        if (closed.size === 0) {
+    /** Ends the request when no endpoint is left. The refusal depends on whether endpoints were skipped because of rate limits. */
+    private refuseOrGiveUp(limitedIds: ReadonlySet<string>, cause: string): void {
+        if (limitedIds.size === 0) {
             this.giveUp(cause);
             return;
         }
-        const retryAfterMilliseconds = this.environment.limits.bookReturn(closed, this.getTime());
-        const limited = `${cause} The endpoints limit what they take.`;
-        this.giveUp(limited, createRefusal.notRun(limited, retryAfterMilliseconds));
+        const retryAfterMilliseconds = this.environment.limits.bookReturn(limitedIds, this.getTime());
+        const limitedCause = `${cause} The rate limits of the remaining endpoints are exhausted.`;
+        this.giveUp(limitedCause, createRefusal.notRun(limitedCause, retryAfterMilliseconds));
     }
 
-    private takeRepeat(): boolean {
+    private takeRetryFromBudget(): boolean {
         return this.environment.repeats.takeRetry(this.getTime());
     }
 
@@ -324,27 +326,27 @@
     }
 
     /**
-     * Ends the request without an endpoint's success, unless an endpoint still runs it.
-     * @param cause - Why.
-     * @param notRun - What its caller is told where nothing of it has run.
+     * Ends the request without success, unless an endpoint still runs it.
+     * @param cause - Why it ends.
+     * @param notRun - Refusal for the caller if no endpoint has run the request.
      */
     private giveUp(cause: string, notRun: RelayRefusal = createRefusal.notRun(cause)): void {
-        if (this.running.size > 0) {
+        if (this.runningAttempts.size > 0) {
             return;
         }
-        if (this.failure !== undefined) {
-            const { failure } = this;
-            sendWholeAnswer(this.task.sink, failure);
-            this.finish("endpointFailed", undefined, failure.head.status);
+        if (this.failureAnswer !== undefined) {
+            const { failureAnswer } = this;
+            sendWholeAnswer(this.task.sink, failureAnswer);
+            this.finish("endpointFailed", undefined, failureAnswer.head.status);
             return;
         }
         this.refuse(this.mayHaveRun ? createRefusal.outcomeUnknown(cause) : notRun);
     }
 
     private expire(): void {
-        const isRunning = [...this.running].some(({ exchange }) => exchange?.getSentTime() !== undefined);
+        const isRunning = [...this.runningAttempts].some(({ exchange }) => exchange?.getSentTime() !== undefined);
         const mayHaveRun = this.mayHaveRun || isRunning;
-        this.refuse(mayHaveRun ? createRefusal.timedOut() : createRefusal.notRun("no endpoint took it in time."));
+        this.refuse(mayHaveRun ? createRefusal.timedOut() : createRefusal.notRun("no endpoint accepted it in time."));
     }
 
     private refuse(refusal: RelayRefusal): void {
@@ -362,7 +364,7 @@
         for (const timer of this.timers) {
             timer.cancel();
         }
-        for (const attempt of [...this.running]) {
+        for (const attempt of [...this.runningAttempts]) {
             attempt.exchange?.abort();
             this.releaseAttempt(attempt);
         }
@@ -386,7 +388,7 @@
     private releaseAttempt(attempt: Attempt): void {
         this.firstSentAt ??= attempt.exchange?.getSentTime();
         attempt.reservation.release();
-        this.running.delete(attempt);
+        this.runningAttempts.delete(attempt);
     }
 
     private setTimer(delay: number, callback: () => void): void {
--- a/src/request/relay/endpointHealth.ts
+++ b/src/request/relay/endpointHealth.ts
@@ -2,78 +2,82 @@
 import { forget } from "./forget.ts";
 import type { Suspicion } from "./suspicion.ts";
 
-/** What this node has seen of one endpoint's behaviour. */
+/** State of an endpoint as observed by this node. */
 interface HealthRecord {
-    /** Moving average of failed exchanges, 0 to 1. */
+    /** Moving average of the share of exchanges that failed, 0 to 1. */
     failureShare: number;
     updatedAt: number;
-    /** Monotonic time in milliseconds until which the endpoint is taken as lost. */
+    /** Monotonic time in milliseconds until which the endpoint is considered unavailable. */
     suspectUntil: number;
     /** Monotonic time in milliseconds until which the endpoint is known to refuse new requests. */
     refusingUntil: number;
-    /** Failures in a row. */
-    failuresInRow: number;
-    /** Monotonic time in milliseconds of its last answer, or of the last event of a stream that passed through it. */
+    /** Consecutive times that the endpoint was unavailable. */
+    consecutiveFailures: number;
+    /** Monotonic time in milliseconds of its last answer, or of the last event of a stream that it took part in. */
     aliveAt: number;
 }
 
-/** Weight of the newest exchange in the average: about the last six exchanges count. */
+/** Weight of the newest exchange in the moving average, which covers about the last six exchanges. */
 const newestWeight = 0.3;
-/** The average halves in this time, so that an endpoint that had failed is tried again. */
-const forgettingMilliseconds = 3_000;
-/** An endpoint without a connection is tried again after this time at first; it doubles with each failure in a row. */
-const shortestSuspicionMilliseconds = 400;
-const longestSuspicionMilliseconds = 4_000;
-/** An endpoint that leaves is gone, or its record tells of it, within a few seconds; a few of the nodes look again after this time. */
+/** Half-life of the average, so that an endpoint that has failed is tried again. */
+const halfLifeMilliseconds = 3_000;
+/** Backoff before an unavailable endpoint is tried again. It doubles with each consecutive failure up to the maximum. */
+const initialBackoffMilliseconds = 400;
+const maximumBackoffMilliseconds = 4_000;
+/**
+ * Time for which new requests avoid an endpoint that refuses them. A leaving endpoint ends, or is marked in its record, within a
+ * few seconds. After this time, a few of the nodes try it again.
+ */
 const refusingMilliseconds = 3_000;
-/** Nodes look again at times that differ by up to this, and whoever is first tells the others. */
-const lookAgainMilliseconds = 1_500;
-/** Several times the usual time between events; an endpoint that none came from for so long may be lost. */
-const aliveMilliseconds = 300;
+/** Maximum jitter between nodes that try a refusing endpoint again: the first node that does so informs the others. */
+const maximumRefusalJitterMilliseconds = 1_500;
+/** Time without events after which an endpoint may be unavailable: several times the usual time between events. */
+const livenessMilliseconds = 300;
 
-/** Finds endpoints that fail from the results of exchanges, since health checks may be good all the while. */
+/** Detects failing endpoints from the results of exchanges, since their health checks may still pass. */
 export class EndpointHealth {
     private readonly records = new Map<string, HealthRecord>();
-    /** How much later than the others this node looks again at an endpoint that refuses, in milliseconds. */
-    private readonly ownDelay: number;
+    /** Jitter of this node before it tries a refusing endpoint again, in milliseconds. */
+    private readonly refusalJitterMilliseconds: number;
 
-    private constructor(ownDelay: number) {
-        this.ownDelay = ownDelay;
+    private constructor(refusalJitterMilliseconds: number) {
+        this.refusalJitterMilliseconds = refusalJitterMilliseconds;
     }
 
     /**
-     * Creates a record in which all endpoints are sound.
-     * @param random - Sets nodes apart.
+     * Creates an instance in which all endpoints are healthy.
+     * @param random - Source of this node's jitter.
      */
     static create(random: RandomSource = () => 0): EndpointHealth {
-        return new EndpointHealth(random() * lookAgainMilliseconds);
+        return new EndpointHealth(random() * maximumRefusalJitterMilliseconds);
     }
 
-    /** Whether new requests keep away from the endpoint: it is taken as lost, or known to refuse them. */
+    /** Gets if new requests should avoid the endpoint, because it is considered unavailable or refuses them. */
     isSuspect(endpointId: string, now: number): boolean {
         const record = this.records.get(endpointId);
-        return record !== undefined && (record.suspectUntil > now || record.refusingUntil + this.ownDelay > now);
+        return record !== undefined
+            && (record.suspectUntil > now || record.refusingUntil + this.refusalJitterMilliseconds > now);
     }
 
     /**
-     * Notes that the endpoint refuses new requests, and not for want of room. That events of it still come says nothing against it:
-     * one that leaves serves to their end the requests that it has.
-     * @returns Whether this is news.
+     * Records that the endpoint refuses new requests for another reason than a lack of free memory. Events that still come from
+     * it are no sign to the contrary, since a leaving endpoint completes the requests that it has.
+     * @returns Whether this wasn't known before.
      */
     addRefusal(endpointId: string, now: number): boolean {
-        return this.noteRefusing(endpointId, refusingMilliseconds, now);
+        return this.markRefusing(endpointId, refusingMilliseconds, now);
     }
 
-    /** Gets the share of exchanges that failed lately, 0 to 1. */
+    /** Gets the share of recent exchanges that failed, 0 to 1. */
     getFailureShare(endpointId: string, now: number): number {
         const record = this.records.get(endpointId);
         if (record === undefined) {
             return 0;
         }
-        return forget(record.failureShare, now - record.updatedAt, forgettingMilliseconds);
+        return forget(record.failureShare, now - record.updatedAt, halfLifeMilliseconds);
     }
 
-    /** Gets the endpoints that are taken as lost or known to refuse, for the peers. */
+    /** Gets the endpoints that are considered unavailable or refuse requests, to report them to peers. */
     getSuspicions(now: number): Suspicion[] {
         const suspicions: Suspicion[] = [];
         for (const [endpointId, { suspectUntil, refusingUntil }] of this.records) {
@@ -86,64 +90,64 @@
         return suspicions;
     }
 
-    /** Notes an exchange that went well. */
+    /** Records a successful exchange. */
     addSuccess(endpointId: string, now: number): void {
         if (!this.records.has(endpointId)) {
             return;
         }
         const record = this.update(endpointId, 0, now);
-        record.failuresInRow = 0;
+        record.consecutiveFailures = 0;
         record.suspectUntil = 0;
     }
 
-    /** Notes that an event of a stream passed through the endpoint, or that it answered. */
+    /** Records that the endpoint answered, or that an event of a stream came through it. */
     noteAlive(endpointId: string, now: number): void {
         this.getRecord(endpointId, now).aliveAt = now;
     }
 
-    /** Gets the monotonic time in milliseconds at which the endpoint was last seen alive; -Infinity where it never was. */
+    /** Gets the monotonic time in milliseconds at which the endpoint was last seen alive; -Infinity if it never was. */
     getAliveTime(endpointId: string): number {
         return this.records.get(endpointId)?.aliveAt ?? -Infinity;
     }
 
-    /** Notes an exchange that failed, of an endpoint that may still be sound. */
+    /** Records a failed exchange with an endpoint that may still be healthy. */
     addFailure(endpointId: string, now: number): void {
         this.update(endpointId, 1, now);
     }
 
-    /** Notes that the endpoint takes no connection or holds up its chains. */
+    /** Records that the endpoint accepts no connection or stalls its chains. */
     addLoss(endpointId: string, now: number): void {
         const record = this.update(endpointId, 1, now);
-        const pause = shortestSuspicionMilliseconds * 2 ** record.failuresInRow;
-        record.failuresInRow += 1;
-        record.suspectUntil = Math.max(record.suspectUntil, now + Math.min(pause, longestSuspicionMilliseconds));
+        const backoff = initialBackoffMilliseconds * 2 ** record.consecutiveFailures;
+        record.consecutiveFailures += 1;
+        record.suspectUntil = Math.max(record.suspectUntil, now + Math.min(backoff, maximumBackoffMilliseconds));
     }
 
     /**
-     * Takes a peer's suspicion over; it ends when the peer's does. Not that of an endpoint whose events come here: it may be
-     * out of reach for the peer alone, and to take it for lost would take its room from all nodes.
-     * @returns Whether it is news that other peers should know at once.
+     * Applies a peer's suspicion, which ends when it ends at the peer. A suspicion that an endpoint is unavailable is ignored
+     * while this node receives events from it: it may be unreachable for the peer alone, and all nodes would lose its capacity.
+     * @returns Whether other peers should be informed at once.
      */
     addSuspicion({ endpointId, remainingMilliseconds, isRefusing }: Suspicion, now: number): boolean {
-        const remaining = Math.min(remainingMilliseconds, longestSuspicionMilliseconds);
+        const remaining = Math.min(remainingMilliseconds, maximumBackoffMilliseconds);
         if (isRefusing) {
-            return this.noteRefusing(endpointId, remaining, now);
+            return this.markRefusing(endpointId, remaining, now);
         }
         const record = this.getRecord(endpointId, now);
-        if (now - record.aliveAt >= aliveMilliseconds) {
+        if (now - record.aliveAt >= livenessMilliseconds) {
             record.suspectUntil = Math.max(record.suspectUntil, now + remaining);
         }
         return false;
     }
 
-    private noteRefusing(endpointId: string, milliseconds: number, now: number): boolean {
+    private markRefusing(endpointId: string, milliseconds: number, now: number): boolean {
         const record = this.getRecord(endpointId, now);
-        const isNews = record.refusingUntil <= now;
+        const isNew = record.refusingUntil <= now;
         record.refusingUntil = Math.max(record.refusingUntil, now + milliseconds);
-        return isNews;
+        return isNew;
     }
 
-    /** Forgets endpoints that are not registered any more. */
+    /** Removes endpoints that are no longer registered. */
     retain(endpointIds: ReadonlySet<string>): void {
         for (const endpointId of this.records.keys()) {
             if (!endpointIds.has(endpointId)) {
@@ -161,16 +165,16 @@
     }
 
     private getRecord(endpointId: string, now: number): HealthRecord {
-        const known = this.records.get(endpointId);
-        if (known !== undefined) {
-            return known;
+        const existing = this.records.get(endpointId);
+        if (existing !== undefined) {
+            return existing;
         }
         const record = {
             failureShare: 0,
             updatedAt: now,
             suspectUntil: 0,
             refusingUntil: 0,
-            failuresInRow: 0,
+            consecutiveFailures: 0,
             aliveAt: -Infinity,
         };
         this.records.set(endpointId, record);
--- a/src/request/relay/endpointLoads.ts
+++ b/src/request/relay/endpointLoads.ts
@@ -3,40 +3,41 @@
 import type { LoadReservation } from "./loadReservation.ts";
 import type { RelayStage } from "./relayStage.ts";
 
-/** What one peer has said of its own requests. */
+/** Last report of a peer about its own requests. */
 interface PeerLoads {
     receivedAt: number;
     loads: LoadOfEndpoint[];
-    /** Tokens a second of new requests that come to it. */
+    /** Tokens per second of new requests that arrive at the peer. */
     demand: number;
 }
 
 /** This node's requests at one endpoint. */
 interface OwnLoad extends LoadOfEndpoint {
-    /** Most memory that they took in the present and in the last interval, in tokens times layers. */
+    /** Peak memory of these requests in the current interval, in tokens times layers. */
     peak: number;
-    peakBefore: number;
+    /** Peak memory in the previous interval, in tokens times layers. */
+    previousPeak: number;
     intervalStart: number;
-    /** Monotonic time in milliseconds until which the endpoint is taken to be full, since it refused for want of room. */
+    /** Monotonic time in milliseconds until which the endpoint counts as full, after it refused a request for lack of memory. */
     fullUntil: number;
 }
 
-/** A peer's word on its load counts for this long; it speaks several times in that time. */
-const peerLoadMilliseconds = 3_000;
-/** A change of this node's load is known to all peers after one to two of these. */
+/** Time to live of a peer's report; peers send several in this time. */
+const peerReportTimeToLiveMilliseconds = 3_000;
+/** Interval of peak tracking. All peers know a change of this node's load after one to two intervals. */
 const peakIntervalMilliseconds = 300;
-/** By then, requests that were on their way when the endpoint refused one are counted by all. */
-const fullMilliseconds = 250;
-/** A node with little demand has this part of an equal part all the same, for what may come next. */
-const leastDemandPart = 0.25;
+/** After this time, all nodes have counted the requests that were in flight when the endpoint refused one. */
+const fullDurationMilliseconds = 250;
+/** Minimum share of a node with little demand, as a fraction of an equal share, for requests that may come next. */
+const minimumShareFraction = 0.25;
 const noLoad: LoadOfEndpoint = { endpointId: "", requests: 0, tokenLayers: 0 };
 
-/** The load of each endpoint: this node's own requests, and those that its peers have told of. */
+/** Tracks the load of each endpoint: this node's own requests, and those that peers report. */
 export class EndpointLoads {
     private readonly own = new Map<string, OwnLoad>();
     private readonly peers = new Map<string, PeerLoads>();
     private readonly onRelease: () => void;
-    private sums = new Map<string, LoadOfEndpoint>();
+    private peerSums = new Map<string, LoadOfEndpoint>();
     private peerDemand = 0;
     private peerCount = 0;
 
@@ -45,17 +46,17 @@
     }
 
     /**
-     * Creates a record without load.
-     * @param onRelease - Called when a request has left its endpoints, or peers have told of theirs.
+     * Creates an instance without load.
+     * @param onRelease - Called when a request releases its endpoints, or when a peer's report arrives.
      */
     static create(onRelease: () => void = () => undefined): EndpointLoads {
         return new EndpointLoads(onRelease);
     }
 
-    /** Gets the requests of all nodes at an endpoint, as last known. */
+    /** Gets the last known load of an endpoint by the requests of all nodes. */
     getLoad(endpointId: string): LoadOfEndpoint {
         const own = this.own.get(endpointId) ?? noLoad;
-        const others = this.sums.get(endpointId) ?? noLoad;
+        const others = this.peerSums.get(endpointId) ?? noLoad;
         return {
             endpointId,
             requests: own.requests + others.requests,
@@ -64,50 +65,50 @@
     }
 
     /**
-     * Gets the memory that this node may still give to requests at an endpoint, in tokens times layers.
+     * Gets the memory of an endpoint that this node may still use for requests, in tokens times layers.
      * @param endpointId - The endpoint.
-     * @param total - Its memory for requests that isn't taken by anything unknown.
-     * @param ownDemand - Tokens a second of new requests that come to this node.
+     * @param total - Its memory for requests, without memory in use that no node's requests explain.
+     * @param ownDemand - Tokens per second of new requests that arrive at this node.
      * @param now - Monotonic time in milliseconds.
      */
     getRoom(endpointId: string, total: number, ownDemand: number, now: number): number {
         const load = this.own.get(endpointId);
         const own = load?.tokenLayers ?? 0;
-        const others = this.sums.get(endpointId)?.tokenLayers ?? 0;
+        const others = this.peerSums.get(endpointId)?.tokenLayers ?? 0;
         if (load !== undefined && load.fullUntil > now) {
             return 0;
         }
         const ownPeak = load === undefined ? 0 : getPeak(load, now);
-        return getOwnRoom({ own, ownPeak, others, total, share: this.getShare(ownDemand) });
+        return getOwnRoom({ own, ownPeak, others, total, share: this.getKnownDemandShare(ownDemand) });
     }
 
     /**
-     * Gets this node's part of the demand of all nodes. Those that it has heard nothing of lately are taken to have as much as the
-     * others have on average.
-     * @param ownDemand - Tokens a second of new requests that come to this node.
-     * @param nodeCount - Nodes that live, this one included.
+     * Gets this node's share of the demand of all nodes. Nodes without a recent report count with the average demand of the
+     * other peers.
+     * @param ownDemand - Tokens per second of new requests that arrive at this node.
+     * @param nodeCount - Number of live nodes, including this one.
      */
     getDemandPart(ownDemand: number, nodeCount: number): number {
-        const equalPart = 1 / nodeCount;
+        const equalShare = 1 / nodeCount;
         const peerMean = this.peerCount > 0 ? this.peerDemand / this.peerCount : ownDemand;
         const sum = ownDemand + peerMean * (nodeCount - 1);
-        return sum > 0 ? Math.max(ownDemand / sum, equalPart * leastDemandPart) : equalPart;
+        return sum > 0 ? Math.max(ownDemand / sum, equalShare * minimumShareFraction) : equalShare;
     }
 
-    /** Notes that an endpoint refused a request for want of room: whatever is counted here, it has none for a moment. */
+    /** Records that an endpoint refused a request for lack of memory. It briefly counts as full, whatever its known load. */
     noteFull(endpointId: string, now: number): void {
         const load = this.getOwn(endpointId, now);
         load.peak = load.tokenLayers;
-        load.peakBefore = load.tokenLayers;
-        load.fullUntil = now + fullMilliseconds;
+        load.previousPeak = load.tokenLayers;
+        load.fullUntil = now + fullDurationMilliseconds;
     }
 
-    /** Gets this node's own loads, for its peers. */
+    /** Gets the loads by this node's own requests, to report them to peers. */
     getOwnLoads(): LoadOfEndpoint[] {
         return [...this.own.values()].filter(load => load.requests > 0);
     }
 
-    /** Takes what a peer says of its own requests and its demand; replaces what it said before. */
+    /** Sets the loads and the demand that a peer reports, replacing its previous report. */
     setPeerLoads(peerId: string, loads: LoadOfEndpoint[], demand: number, now: number): void {
         this.peers.set(peerId, { receivedAt: now, loads, demand });
         this.sumPeers(now);
@@ -115,9 +116,9 @@
     }
 
     /**
-     * Counts a request at each stage of its chain.
+     * Reserves the load of a request at each stage of its chain.
      * @param stages - The chain.
-     * @param tokens - Tokens that the request is expected to have at its end.
+     * @param tokens - Expected tokens of the request at its end.
      * @param now - Monotonic time in milliseconds.
      */
     reserveStages(stages: readonly RelayStage[], tokens: number, now: number): LoadReservation {
@@ -129,12 +130,12 @@
         return this.reserve(loads, now);
     }
 
-    /** Counts a request without memory at one endpoint. */
+    /** Reserves the load of a request that needs no memory at an endpoint. */
     reserveEndpoint(endpointId: string, now: number): LoadReservation {
         return this.reserve([{ endpointId, requests: 1, tokenLayers: 0 }], now);
     }
 
-    /** Forgets endpoints that are not registered any more, but for requests that still run there. */
+    /** Removes endpoints that are no longer registered, except those that still run requests of this node. */
     retain(endpointIds: ReadonlySet<string>): void {
         for (const [endpointId, { requests }] of this.own) {
             if (requests === 0 && !endpointIds.has(endpointId)) {
@@ -158,33 +159,33 @@
                 }
                 isHeld = false;
                 for (const load of loads) {
-                    this.giveBack(load);
+                    this.releaseLoad(load);
                 }
                 this.onRelease();
             },
         };
     }
 
-    private giveBack({ endpointId, requests, tokenLayers }: LoadOfEndpoint): void {
+    private releaseLoad({ endpointId, requests, tokenLayers }: LoadOfEndpoint): void {
         const own = this.own.get(endpointId);
         if (own === undefined) {
             return;
         }
         own.requests -= requests;
-        // Sums of fractions leave a rest, which must not stay with an endpoint for good.
+        // Floating-point sums leave a rounding error, which must not remain at an idle endpoint.
         own.tokenLayers = own.requests === 0 ? 0 : own.tokenLayers - tokenLayers;
     }
 
     private getOwn(endpointId: string, now: number): OwnLoad {
-        const known = this.own.get(endpointId);
-        if (known !== undefined) {
-            return known;
+        const existing = this.own.get(endpointId);
+        if (existing !== undefined) {
+            return existing;
         }
         const load: OwnLoad = {
             ...noLoad,
             endpointId,
             peak: 0,
-            peakBefore: 0,
+            previousPeak: 0,
             intervalStart: now,
             fullUntil: 0,
         };
@@ -192,39 +193,39 @@
         return load;
     }
 
-    /** Gets this node's part of the demand, or an equal part where nobody has any. */
-    private getShare(ownDemand: number): number {
+    /** Gets this node's share of the known demand, or an equal share if there is no demand. */
+    private getKnownDemandShare(ownDemand: number): number {
         const sum = ownDemand + this.peerDemand;
         return sum > 0 ? ownDemand / sum : 1 / (1 + this.peerCount);
     }
 
     private sumPeers(now: number): void {
-        this.sums = new Map();
+        this.peerSums = new Map();
         this.peerDemand = 0;
         for (const [peerId, { receivedAt, loads, demand }] of this.peers) {
-            if (now - receivedAt > peerLoadMilliseconds) {
+            if (now - receivedAt > peerReportTimeToLiveMilliseconds) {
                 this.peers.delete(peerId);
                 continue;
             }
             this.peerDemand += demand;
             for (const load of loads) {
-                const sum = this.sums.get(load.endpointId) ?? { ...noLoad, endpointId: load.endpointId };
+                const sum = this.peerSums.get(load.endpointId) ?? { ...noLoad, endpointId: load.endpointId };
                 sum.requests += load.requests;
                 sum.tokenLayers += load.tokenLayers;
-                this.sums.set(load.endpointId, sum);
+                this.peerSums.set(load.endpointId, sum);
             }
         }
         this.peerCount = this.peers.size;
     }
 }
 
-/** Gets the most memory that this node's requests took lately at an endpoint, in tokens times layers. */
+/** Gets the recent peak memory of this node's requests at an endpoint, in tokens times layers. */
 function getPeak(load: OwnLoad, now: number): number {
     const elapsed = now - load.intervalStart;
     if (elapsed >= peakIntervalMilliseconds) {
-        load.peakBefore = elapsed < 2 * peakIntervalMilliseconds ? load.peak : load.tokenLayers;
+        load.previousPeak = elapsed < 2 * peakIntervalMilliseconds ? load.peak : load.tokenLayers;
         load.peak = load.tokenLayers;
         load.intervalStart = now;
     }
-    return Math.max(load.peak, load.peakBefore);
+    return Math.max(load.peak, load.previousPeak);
 }
--- a/src/request/relay/endpointProtocol.ts
+++ b/src/request/relay/endpointProtocol.ts
@@ -10,14 +10,14 @@
 import type { RelayStage } from "./relayStage.ts";
 import type { RoutedRequest } from "./routedRequest.ts";
 
-/** How endpoints are spoken to. Translates only; all decisions are made by the callers. */
+/** Encodes requests to endpoints and decodes their answers. Makes no decisions of its own. */
 export interface EndpointProtocol {
     createRequest(request: RoutedRequest, context: ForwardingContext): UpstreamRequest;
     readHead(status: number, headers: IncomingHttpHeaders, requestId: string): AnswerHead;
     createReportRequest(address: string): UpstreamRequest;
     readReport(body: Buffer): Result<EndpointReport, string>;
     createLayerOrder(endpoint: RegisteredEndpoint, order: LayerOrder): UpstreamRequest;
-    /** Creates the order that moves a running request to another chain with the same first stage. */
+    /** Creates an order that moves a running request to another chain with the same first stage. */
     createRerouteOrder(endpoint: RegisteredEndpoint, requestId: string, stages: RelayStage[]): UpstreamRequest;
     readOrderOutcome(status: number, body: Buffer): OrderOutcome;
 }
--- a/src/request/relay/endpointReport.ts
+++ b/src/request/relay/endpointReport.ts
@@ -1,17 +1,17 @@
 import type { HeldLayers } from "./heldLayers.ts";
 
-/** What an endpoint says of its state; some hundred milliseconds old. */
+/** State of an endpoint as reported by itself; usually a few hundred milliseconds old. */
 export interface EndpointReport {
-    /** When the endpoint that wrote it started, in Unix milliseconds; 0 where it doesn't say. */
+    /** Start time of the reporting endpoint in Unix milliseconds; 0 if unknown. */
     incarnation: number;
-    /** Factor on the engine's usual times; above 1 where it is slow. */
+    /** Factor by which the engine is slower than usual; 1 at usual speed. */
     slowness: number;
     orderSequence: number;
     isBusyWithOrder: boolean;
     layers: HeldLayers | undefined;
-    /** Memory of requests that can't be given up, in tokens times layers. */
+    /** Memory of requests that can't be evicted, in tokens times layers. */
     usedTokenLayers: number;
     totalTokenLayers: number;
-    /** Requests that wait for an endpoint further down their chain, by request id. */
+    /** Ids of requests that wait for a later endpoint of their chain, with that endpoint's address. */
     stalled: { requestId: string; address: string; }[];
 }
--- a/src/request/relay/estimateAnswer.ts
+++ b/src/request/relay/estimateAnswer.ts
@@ -3,8 +3,8 @@
 import { getMeanContext } from "./getMeanContext.ts";
 import type { StageWork } from "./stageWork.ts";
 
-/** Mean wait for the pass in progress, as a part of a pass, and the pass itself. */
-const passesOfStep = 1.5;
+/** Duration of a step in passes: half a pass of mean wait for the pass in progress, and the pass itself. */
+const passesPerStep = 1.5;
 
 /** Estimates the time that a stage adds to a whole answer, in milliseconds. */
 export function estimateAnswer(
@@ -14,14 +14,14 @@
     answerTokens: number,
 ): number {
     const passes = answerTokens / model.stepsOfPass;
-    return passes * passesOfStep * estimatePass(model, work) + estimatePrefill(model, work, promptTokens);
+    return passes * passesPerStep * estimatePassTime(model, work) + estimatePrefill(model, work, promptTokens);
 }
 
 /**
- * Estimates the time of one pass of token steps at a stage, in milliseconds: base, requests and context, as the engine
- * states them, scaled by its kind and its share of the layers.
+ * Estimates the time of one pass of token steps at a stage, in milliseconds. Adds the engine's base time and its times for
+ * requests and context, scaled by the accelerator kind and the share of the layers.
  */
-function estimatePass(model: EngineModel, work: StageWork): number {
+function estimatePassTime(model: EngineModel, work: StageWork): number {
     const context = model.stepMillisecondsOfThousandTokens * getMeanContext(model) / 1_000;
     const step = model.stepMilliseconds + work.requests * (model.stepMillisecondsOfRequest + context);
     return model.stepsOfPass * step * work.kind.stepFactor * work.slowness * work.layers / model.layers;
--- a/src/request/relay/eventVerdict.ts
+++ b/src/request/relay/eventVerdict.ts
@@ -1,10 +1,10 @@
-/** What to do with an event of a run. */
+/** How to handle an event of a stream, according to its id. */
 export const EventVerdict = {
-    /** It goes on to the caller. */
+    /** Forward it to the caller. */
     Pass: "pass",
-    /** The caller has it already. */
+    /** Skip it, since the caller already has it. */
     Repeat: "repeat",
-    /** An event before it is missing. */
+    /** An earlier event is missing. */
     Gap: "gap",
 } as const;
 export type EventVerdict = typeof EventVerdict[keyof typeof EventVerdict];
--- a/src/request/relay/fingerprintRequest.ts
+++ b/src/request/relay/fingerprintRequest.ts
@@ -1,14 +1,14 @@
 import { createHash } from "node:crypto";
 import type { RoutedRequest } from "./routedRequest.ts";
 
-/** Long enough that two requests don't meet by chance, short enough for a line of the log. */
+/** Hexadecimal digits of a fingerprint: enough to make collisions unlikely, and short enough for a log line. */
 const fingerprintLength = 32;
 
 /**
- * Gets what a request is recognized by when its caller sends it again: a hash of the caller, the path and the body. Its id
- * is new with each sending.
+ * Gets the fingerprint by which a request is recognized when its caller retries it: a hash of the customer, the method, the
+ * host, the path and the body. The request id differs between retries.
  * @param request - The request.
- * @param customer - Name of the customer that sends it; undefined where the route needs no key.
+ * @param customer - Name of the customer that sends it; undefined if the route needs no key.
  */
 export function fingerprintRequest(request: RoutedRequest, customer: string | undefined): string {
     const { method, host, target, body } = request;
--- a/src/request/relay/firstEventTimes.ts
+++ b/src/request/relay/firstEventTimes.ts
@@ -1,30 +1,30 @@
-/** Weight of the newest first event in the averages: about the last twenty count. */
+/** Weight of the newest first event in the moving averages, which cover about the last twenty. */
 const newestWeight = 0.05;
-/** Before any was seen, in milliseconds: the reading of a usual prompt on a fast chain. */
-const initialMilliseconds = 100;
-/** So many mean deviations above the mean: nine in ten first events come before. */
-const deviations = 2;
+/** Mean before the first measurement: the prefill of a usual prompt on a fast chain. */
+const initialMeanMilliseconds = 100;
+/** Mean deviations above the mean, within which about nine in ten first events arrive. */
+const deviationFactor = 2;
 
-/** How long chains take until the first event, as they were seen to lately. */
+/** Tracks the recent time to the first event of chains. */
 export class FirstEventTimes {
-    private mean = initialMilliseconds;
+    private mean = initialMeanMilliseconds;
     private deviation = 0;
 
     private constructor() {}
 
-    /** Creates a record that has seen no events. */
+    /** Creates an instance without measurements. */
     static create(): FirstEventTimes {
         return new FirstEventTimes();
     }
 
-    /** Notes the time from a sending to its first event, in milliseconds. */
+    /** Records the time from sending a request to its first event, in milliseconds. */
     note(milliseconds: number): void {
         this.deviation += newestWeight * (Math.abs(milliseconds - this.mean) - this.deviation);
         this.mean += newestWeight * (milliseconds - this.mean);
     }
 
-    /** Gets the time after which nine in ten first events have come, in milliseconds. */
+    /** Gets the time within which about nine in ten first events arrive, in milliseconds. */
     getExpected(): number {
-        return this.mean + deviations * this.deviation;
+        return this.mean + deviationFactor * this.deviation;
     }
 }
--- a/src/request/relay/formatCrossing.ts
+++ b/src/request/relay/formatCrossing.ts
@@ -1,4 +1,4 @@
-/** Formats a way from one data centre to another, as a key. */
+/** Formats the link from one data centre to another as a key. */
 export function formatCrossing(from: string, to: string): string {
     return `${from}>${to}`;
 }
--- a/src/request/relay/forwardingContext.ts
+++ b/src/request/relay/forwardingContext.ts
@@ -1,16 +1,16 @@
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 import type { RelayStage } from "./relayStage.ts";
 
-/** What goes to an endpoint beside the caller's request. */
+/** Data that is sent to an endpoint along with the caller's request. */
 export interface ForwardingContext {
-    /** The endpoint that the request is meant for; any other one refuses it. */
+    /** The intended endpoint; any other endpoint refuses the request. */
     endpoint: RegisteredEndpoint;
-    /** Name of the customer that holds the request's key. */
+    /** Name of the customer that owns the request's API key. */
     customer: string | undefined;
-    /** Time that is left for the answer, in milliseconds. */
+    /** Remaining time for the answer, in milliseconds. */
     remainingMilliseconds: number;
-    /** The chain that the request passes through; undefined for a document service. */
+    /** The chain that runs the request; undefined for a document service. */
     stages?: RelayStage[];
-    /** Id of the last event that the caller has; 0 where it has none. */
+    /** Id of the last event that the caller has received; 0 if none. */
     lastEventId: number;
 }
--- a/src/request/relay/fullMemoryPart.ts
+++ b/src/request/relay/fullMemoryPart.ts
@@ -1,2 +1,2 @@
-/** An endpoint that refuses with less than this part of its memory taken refuses for another reason than want of room. */
+/** Fraction of used memory below which an endpoint doesn't refuse requests for lack of memory, but for another reason. */
 export const fullMemoryPart = 0.6;
--- a/src/request/relay/getCrossingBits.ts
+++ b/src/request/relay/getCrossingBits.ts
@@ -1,8 +1,8 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
 
-const bitsOfByte = 8;
+const bitsPerByte = 8;
 
-/** Gets the bits of activations that tokens move over one crossing between data centres. */
+/** Gets the size in bits of the activations that are sent over a link between data centres for a number of tokens. */
 export function getCrossingBits(model: EngineModel, tokens: number): number {
-    return tokens * model.activationBytes * bitsOfByte;
+    return tokens * model.activationBytes * bitsPerByte;
 }
--- a/src/request/relay/getMeanContext.ts
+++ b/src/request/relay/getMeanContext.ts
@@ -1,6 +1,6 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
 
-/** Gets the mean context of a usual request over its answer, in tokens. */
+/** Gets the mean context length of a usual request while it is answered, in tokens. */
 export function getMeanContext({ usualPromptTokens, usualAnswerTokens }: EngineModel): number {
     return usualPromptTokens + usualAnswerTokens / 2;
 }
--- a/src/request/relay/getOwnRoom.ts
+++ b/src/request/relay/getOwnRoom.ts
@@ -1,35 +1,34 @@
-/** What is known of one endpoint's memory, in tokens times layers. */
+/** Known use of an endpoint's memory, in tokens times layers. */
 interface EndpointMemory {
-    /** What this node's requests take now. */
+    /** Memory of this node's requests. */
     own: number;
-    /** The most that they took lately, which is what the peers take this node to need. */
+    /** Recent peak memory of this node's requests, which peers assume to be in use. */
     ownPeak: number;
-    /** What the peers' requests took when they last spoke. */
+    /** Memory of the peers' requests according to their last reports. */
     others: number;
-    /** Memory for requests. */
+    /** Total memory for requests. */
     total: number;
-    /** Part of the demand that comes to this node, 0 to 1. */
+    /** Share of the demand that arrives at this node, 0 to 1. */
     share: number;
 }
 
 /**
- * Part of the memory that may be promised. Requests are counted at their expected length from the beginning, so that their sum is
- * somewhat more than what they use.
+ * Fraction of the memory that may be reserved. Requests count with their expected final length from their start, so they use
+ * less memory than they reserve.
  */
-const mostPart = 1.05;
-/** So much is left by a node that grows, for what the others start before it hears of them. */
-const growthMargin = 0.05;
+const reservableFraction = 1.05;
+/** Fraction of the memory that a growing node leaves free, for requests that its peers start before it receives their reports. */
+const growthMarginFraction = 0.05;
 
 /**
- * Gets the memory that this node may still give to requests at an endpoint, in tokens times layers.
+ * Gets the memory of an endpoint that this node may still use for requests, in tokens times layers.
  *
- * The load that it answers is an overload in which all nodes hear of the same free place and fill it at once, since they hear
- * of each other a few times a second only. So a place that one of this node's requests leaves is this node's again, without
- * a doubt; of room beyond that it takes all but a margin, or where there is little, its share. Where too much was taken, each
- * node gives back its share.
+ * Nodes exchange reports only a few times a second. During an overload, all of them would otherwise see the same free memory
+ * and fill it at once. So memory that this node's own requests release stays reserved for this node. Of other free memory, it
+ * uses all but a margin, or only its share if there is little. If too much is reserved, each node gives up its share.
  */
 export function getOwnRoom({ own, ownPeak, others, total, share }: EndpointMemory): number {
-    const free = total * mostPart - others - ownPeak;
-    const growth = free > 0 ? Math.max(free * share, free - total * growthMargin) : free * share;
+    const free = total * reservableFraction - others - ownPeak;
+    const growth = free > 0 ? Math.max(free * share, free - total * growthMarginFraction) : free * share;
     return ownPeak - own + growth;
 }
--- a/src/request/relay/heldLayers.ts
+++ b/src/request/relay/heldLayers.ts
@@ -1,4 +1,4 @@
-/** Layers of a model from `start` up to but not including `end`. */
+/** Range of layers of a model, from `start` up to but not including `end`. */
 export interface HeldLayers {
     start: number;
     end: number;
--- a/src/request/relay/limits/endpointLimit.ts
+++ b/src/request/relay/limits/endpointLimit.ts
@@ -1,8 +1,8 @@
-/** What an endpoint said of how many requests it takes. */
+/** Rate limit that an endpoint has stated. */
 export interface EndpointLimit {
     endpointId: string;
-    /** Requests a second from all nodes together; undefined where it has ceased to name a limit. */
+    /** Requests per second that it accepts from all nodes together; undefined if it no longer states a limit. */
     requestsPerSecond: number | undefined;
-    /** Monotonic time in milliseconds of the answer that said so. */
+    /** Monotonic time in milliseconds of the answer that stated it. */
     at: number;
 }
--- a/src/request/relay/limits/endpointLimits.ts
+++ b/src/request/relay/limits/endpointLimits.ts
@@ -15,108 +15,109 @@
     log: EventLog;
     random: RandomSource;
     /**
-     * Chooses the nodes that share an endpoint's limit, the same ones at all nodes.
+     * Chooses the nodes that share an endpoint's limit. All nodes choose the same ones.
      * @param endpoint - The endpoint.
-     * @param most - Most nodes that may.
+     * @param maximumNodes - Maximum number of nodes.
      */
-    chooseSharers(endpoint: Pick<RegisteredEndpoint, "id" | "dataCentre">, most: number): LimitSharers;
-    /** Called when a limit has begun, changed by much or ended, which the peers should know at once. */
+    chooseSharers(endpoint: Pick<RegisteredEndpoint, "id" | "dataCentre">, maximumNodes: number): LimitSharers;
+    /** Called when peers should be informed at once, because a limit has started, changed considerably or ended. */
     onNews?(): void;
 }
 
-/** Where a node has a limit from. */
+/** Source of a node's information about a limit. */
 type LimitSource = "answer" | "peer";
 
-/** An endpoint that names a limit, or did a moment ago. */
+/** Limit of an endpoint that states one, or did so recently. */
 interface KnownLimit extends EndpointLimit {
     quota: LimitQuota;
-    /** What this node would send to the endpoint without the limit. */
+    /** Requests that this node would send to the endpoint without the limit. */
     demand: SmoothedRate;
-    /** The endpoint, once this node has asked for a place there. */
+    /** The endpoint, once this node has tried to send it a request. */
     endpoint: RegisteredEndpoint | undefined;
 }
 
 /**
- * Demands are measured over several exchanges with peers: where they change at all nodes at once, as after the loss of another endpoint,
- * each would else take the greater part for its own until it hears of the others.
+ * Averaging time of demands, which covers several exchanges with peers. When demand rises at all nodes at once, as after the
+ * failure of another endpoint, each node would otherwise claim most of the limit until it learns of the others' demand.
  */
-const memoryMilliseconds = 5_000;
-/** Part of a limit that is given out by time. Demands are known a moment late, and with them the parts. */
-const usablePart = 0.8;
-/** So many requests, and what the limit allows in so many seconds, all nodes together may have saved up for requests that come at once. */
-const savedRequests = 4;
-const savedSeconds = 1.5;
-/** An endpoint that takes hardly anything is sent this all the same, or nobody would learn that its limit has ended. */
-const leastRequestsPerSecond = 0.25;
-/** An endpoint that few requests would go to is taken to be wished for by this part of all those of its service. */
-const leastDemandPart = 1 / 4;
-/** The end of a limit is told for this long. */
-const endedMilliseconds = 10_000;
-/** What a peer says seems newer than it is by the time that it was on its way. */
-const wayMilliseconds = 50;
-/** A change by more than this part is told at once. */
-const newsPart = 0.2;
+const averagingMilliseconds = 5_000;
+/** Fraction of a limit that quotas are refilled with. The rest is a margin, since nodes know demands and shares with a delay. */
+const refillFraction = 0.8;
+/** The burst of all nodes together is this number of requests plus what the limit allows in `burstSeconds`. */
+const burstRequests = 4;
+const burstSeconds = 1.5;
+/** Minimum rate to an endpoint with a very low limit: without any requests, nodes wouldn't learn that the limit has ended. */
+const minimumRequestsPerSecond = 0.25;
+/** Minimum demand for an endpoint, as a fraction of the requests for its service. */
+const minimumDemandFraction = 1 / 4;
+/** Time for which the end of a limit is reported to peers. */
+const endedLimitReportMilliseconds = 10_000;
+/** Tolerance for the network delay of a report, by which it appears newer than it is. */
+const networkDelayToleranceMilliseconds = 50;
+/** Relative change of a limit above which peers are informed at once. */
+const significantChangeFraction = 0.2;
 const secondMilliseconds = 1_000;
 
 /**
- * Keeps the requests that all nodes together send to an endpoint within what it says it takes.
+ * Keeps the requests that all nodes together send to an endpoint within its rate limit.
  *
- * The load that it answers: an endpoint in need names in its answers how many requests a second it takes from all nodes together, far
- * fewer than it got before. Nodes tell each other of the limit and of what they would send there, and each has its part by that, which
- * fills with time; what goes beyond it goes elsewhere. No node asks another before it decides. What all may have saved up together is
- * bounded: where there are more nodes than that, some of them share the limit, and the others send the endpoint nothing.
+ * An overloaded endpoint states in its answers how many requests per second it accepts from all nodes together, which may be
+ * far fewer than before. Nodes report the limit and their demand to each other, and each has a token bucket with its share of
+ * the limit according to demand. Requests that find it empty go to other endpoints. Nodes don't coordinate before a decision.
+ * The burst of all nodes together is bounded. If there are more nodes than that, only some of them share the limit, and the
+ * others send nothing to the endpoint.
  */
 export class EndpointLimits {
     private readonly options: EndpointLimitsOptions;
     private readonly limits = new Map<string, KnownLimit>();
-    private readonly peers = PeerDemands.create();
+    private readonly peerDemands = PeerDemands.create();
     private readonly arrivals = new Map<string, SmoothedRate>();
-    private readonly returns: ReturnSchedule;
+    private readonly retrySchedule: ReturnSchedule;
 
     private constructor(options: EndpointLimitsOptions) {
         this.options = options;
-        this.returns = ReturnSchedule.create(options.random);
+        this.retrySchedule = ReturnSchedule.create(options.random);
     }
 
-    /** Creates a record without limits. */
+    /** Creates an instance without limits. */
     static create(options: EndpointLimitsOptions): EndpointLimits {
         return new EndpointLimits(options);
     }
 
     /**
-     * Notes what an answer of an endpoint says of its limit.
+     * Records the limit that an endpoint's answer states.
      * @param endpointId - The endpoint.
-     * @param requestsPerSecond - The limit; undefined where the answer names none, so that there is none any more.
+     * @param requestsPerSecond - The limit; undefined if the answer states none, which ends an earlier limit.
      * @param now - Monotonic time in milliseconds.
      */
     noteAnswer(endpointId: string, requestsPerSecond: number | undefined, now: number): void {
         if (requestsPerSecond !== undefined || this.limits.has(endpointId)) {
-            this.learn({ endpointId, requestsPerSecond, at: now }, "answer", now);
+            this.updateLimit({ endpointId, requestsPerSecond, at: now }, "answer", now);
         }
     }
 
     /**
-     * Takes what a peer knows of limits, and what it would send to these endpoints; replaces what it said before.
+     * Applies a peer's reports about limits and its demand, replacing its previous demand.
      * @param nodeId - The peer.
-     * @param reports - All that it says.
+     * @param reports - All reports of the peer.
      * @param now - Monotonic time in milliseconds.
      */
     takeReports(nodeId: string, reports: readonly LimitReport[], now: number): void {
-        this.peers.expire(now);
-        this.peers.apply(nodeId, reports.map(({ endpointId, demand }) => [endpointId, demand] as const), now);
+        this.peerDemands.expire(now);
+        this.peerDemands.apply(nodeId, reports.map(({ endpointId, demand }) => [endpointId, demand] as const), now);
         for (const { endpointId, requestsPerSecond, at } of reports) {
-            if (at > (this.limits.get(endpointId)?.at ?? -Infinity) + wayMilliseconds) {
-                this.learn({ endpointId, requestsPerSecond, at }, "peer", now);
+            if (at > (this.limits.get(endpointId)?.at ?? -Infinity) + networkDelayToleranceMilliseconds) {
+                this.updateLimit({ endpointId, requestsPerSecond, at }, "peer", now);
             }
         }
     }
 
-    /** Lists what this node knows of limits, and what it would send to these endpoints, for the peers. */
+    /** Lists this node's reports for its peers, with the known limits and its demand. */
     listReports(now: number): LimitReport[] {
         const reports: LimitReport[] = [];
         for (const known of this.limits.values()) {
             const { endpointId, requestsPerSecond, at } = known;
-            if (requestsPerSecond === undefined && now - at > endedMilliseconds) {
+            if (requestsPerSecond === undefined && now - at > endedLimitReportMilliseconds) {
                 this.limits.delete(endpointId);
                 continue;
             }
@@ -125,21 +126,21 @@
         return reports;
     }
 
-    /** Counts a request for a service, which asks for a place at its endpoints. */
+    /** Counts a request for a service, as demand for its endpoints. */
     noteRequest(service: string, now: number): void {
-        const rate = this.arrivals.get(service) ?? SmoothedRate.create(memoryMilliseconds, now);
+        const rate = this.arrivals.get(service) ?? SmoothedRate.create(averagingMilliseconds, now);
         this.arrivals.set(service, rate);
         rate.observe(now);
     }
 
-    /** Whether the endpoint names a limit now. */
+    /** Gets if the endpoint currently has a limit. */
     isLimited(endpointId: string): boolean {
         return this.limits.get(endpointId)?.requestsPerSecond !== undefined;
     }
 
     /**
-     * Takes a request for an endpoint that it would be sent to out of this node's part of the endpoint's limit.
-     * @returns False where there is none left; the request goes elsewhere.
+     * Takes a request out of this node's share of an endpoint's limit.
+     * @returns False if the share is used up, so that the request must go to another endpoint.
      */
     take(endpoint: RegisteredEndpoint, now: number): boolean {
         const known = this.limits.get(endpoint.id);
@@ -148,31 +149,36 @@
         }
         known.endpoint = endpoint;
         known.demand.observe(now);
-        return known.quota.take(this.getPart(known, known.requestsPerSecond, now), now);
+        return known.quota.take(this.getShare(known, known.requestsPerSecond, now), now);
     }
 
-    /** Gives back what {@link take} took and was not sent. */
+    /** Returns a request that was taken with {@link take} but not sent. */
     giveBack(endpointId: string): void {
         this.limits.get(endpointId)?.quota.giveBack();
     }
 
     /**
-     * Gets when a caller should come back whose request only limits of endpoints held up, in milliseconds from now.
-     * @param endpointIds - The endpoints that it was not sent to.
+     * Books a retry of a request that was refused only because of limits, and gets the delay until it in milliseconds.
+     * @param endpointIds - The endpoints that were skipped because of their limits.
      * @param now - Monotonic time in milliseconds.
      */
     bookReturn(endpointIds: Iterable<string>, now: number): number {
-        let passedPerSecond = 0;
+        let availableRequestsPerSecond = 0;
         for (const id of endpointIds) {
             const known = this.limits.get(id);
             if (known?.requestsPerSecond !== undefined) {
-                passedPerSecond += this.getPart(known, known.requestsPerSecond, now).requestsPerSecond;
+                availableRequestsPerSecond += this.getShare(known, known.requestsPerSecond, now).requestsPerSecond;
             }
         }
-        return this.returns.book({ cost: 1, rate: passedPerSecond / secondMilliseconds, excessMilliseconds: 0, now });
+        return this.retrySchedule.book({
+            cost: 1,
+            rate: availableRequestsPerSecond / secondMilliseconds,
+            excessMilliseconds: 0,
+            now,
+        });
     }
 
-    /** Forgets endpoints that are not registered any more. */
+    /** Removes endpoints that are no longer registered. */
     retain(endpointIds: ReadonlySet<string>): void {
         for (const endpointId of this.limits.keys()) {
             if (!endpointIds.has(endpointId)) {
@@ -181,61 +187,61 @@
         }
     }
 
-    private learn({ endpointId, requestsPerSecond, at }: EndpointLimit, source: LimitSource, now: number): void {
+    private updateLimit({ endpointId, requestsPerSecond, at }: EndpointLimit, source: LimitSource, now: number): void {
         const { log, random, onNews } = this.options;
         const known = this.limits.get(endpointId);
-        const before = known?.requestsPerSecond;
+        const previous = known?.requestsPerSecond;
         const { quota, demand, endpoint } = known ?? {
-            // Else all nodes would hold their first request at the same moment.
+            // A random fill level, so that the quotas of all nodes don't reach their first request at the same moment.
             quota: LimitQuota.create(random(), now),
-            demand: SmoothedRate.create(memoryMilliseconds, now),
+            demand: SmoothedRate.create(averagingMilliseconds, now),
             endpoint: undefined,
         };
         this.limits.set(endpointId, { endpointId, requestsPerSecond, at, quota, demand, endpoint });
-        if (before === requestsPerSecond) {
+        if (previous === requestsPerSecond) {
             return;
         }
         log.write(events.endpointLimited, {
             endpoint: endpointId,
             isLimited: requestsPerSecond !== undefined,
             requestsPerSecond: requestsPerSecond ?? 0,
-            before: before ?? 0,
+            before: previous ?? 0,
             source,
         });
-        if (isNews(before, requestsPerSecond)) {
+        if (isSignificantChange(previous, requestsPerSecond)) {
             onNews?.();
         }
     }
 
-    /** Gets this node's part of a limit. */
-    private getPart(known: KnownLimit, limit: number, now: number) {
-        const saved = savedRequests + limit * savedSeconds;
-        const sharers = known.endpoint && this.options.chooseSharers(known.endpoint, Math.floor(saved));
+    /** Gets the refill rate and the burst of this node's share of a limit. */
+    private getShare(known: KnownLimit, limit: number, now: number) {
+        const totalBurst = burstRequests + limit * burstSeconds;
+        const sharers = known.endpoint && this.options.chooseSharers(known.endpoint, Math.floor(totalBurst));
         if (sharers?.isOneOfThem !== true) {
             return { requestsPerSecond: 0, burst: 0 };
         }
-        const share = sharers.areAll ? this.getDemandPart(known, sharers.count, now) : 1 / sharers.count;
+        const share = sharers.areAll ? this.getDemandShare(known, sharers.count, now) : 1 / sharers.count;
         return {
-            requestsPerSecond: Math.max(leastRequestsPerSecond, limit * usablePart) * share,
-            burst: 1 + Math.max(0, saved - sharers.count) * share,
+            requestsPerSecond: Math.max(minimumRequestsPerSecond, limit * refillFraction) * share,
+            burst: 1 + Math.max(0, totalBurst - sharers.count) * share,
         };
     }
 
-    /** Gets this node's part of what all nodes would send to an endpoint. */
-    private getDemandPart(known: KnownLimit, nodeCount: number, now: number): number {
+    /** Gets this node's share of the demand of all nodes for an endpoint. */
+    private getDemandShare(known: KnownLimit, nodeCount: number, now: number): number {
         const own = this.getDemand(known, now);
-        const others = this.peers.estimateTotal(known.endpointId, nodeCount - 1);
-        return this.peers.peerCount > 0 && own + others > 0 ? own / (own + others) : 1 / nodeCount;
+        const others = this.peerDemands.estimateTotal(known.endpointId, nodeCount - 1);
+        return this.peerDemands.peerCount > 0 && own + others > 0 ? own / (own + others) : 1 / nodeCount;
     }
 
-    /** Gets what this node would send to an endpoint, in requests a second. */
+    /** Gets this node's demand for an endpoint, in requests per second. */
     private getDemand({ demand, endpoint }: KnownLimit, now: number): number {
         const arrivals = this.arrivals.get(endpoint?.service ?? "")?.getPerSecond(now) ?? 0;
-        return Math.max(demand.getPerSecond(now), arrivals * leastDemandPart);
+        return Math.max(demand.getPerSecond(now), arrivals * minimumDemandFraction);
     }
 }
 
-function isNews(before: number | undefined, requestsPerSecond: number | undefined): boolean {
+function isSignificantChange(before: number | undefined, requestsPerSecond: number | undefined): boolean {
     return before === undefined || requestsPerSecond === undefined
-        || Math.abs(requestsPerSecond - before) > before * newsPart;
+        || Math.abs(requestsPerSecond - before) > before * significantChangeFraction;
 }
--- a/src/request/relay/limits/limitQuota.ts
+++ b/src/request/relay/limits/limitQuota.ts
@@ -1,14 +1,14 @@
-/** How fast a quota fills. */
+/** Refill rate and capacity of a quota. */
 interface QuotaRate {
-    /** Requests a second. */
+    /** Refill rate in requests per second. */
     requestsPerSecond: number;
-    /** Most requests that it holds. */
+    /** Maximum number of requests in the quota. */
     burst: number;
 }
 
 const secondMilliseconds = 1_000;
 
-/** One node's quota of the requests that an endpoint takes: it fills at a rate that may change, up to a burst. */
+/** Token bucket for one node's share of an endpoint's rate limit. Its refill rate and burst may change. */
 export class LimitQuota {
     private requests: number;
     private updatedAt: number;
@@ -20,14 +20,14 @@
 
     /**
      * Creates a quota.
-     * @param requests - What it holds at first.
+     * @param requests - Initial number of requests in the quota.
      * @param now - Monotonic time in milliseconds.
      */
     static create(requests: number, now: number): LimitQuota {
         return new LimitQuota(requests, now);
     }
 
-    /** Takes a request out. Returns false where the quota doesn't hold a whole one. */
+    /** Takes a request out of the quota. Returns false if it holds less than one. */
     take({ requestsPerSecond, burst }: QuotaRate, now: number): boolean {
         const filled = Math.max(0, now - this.updatedAt) * requestsPerSecond / secondMilliseconds;
         this.requests = Math.min(burst, this.requests + filled);
@@ -39,7 +39,7 @@
         return true;
     }
 
-    /** Gives back a request that was taken and not sent. */
+    /** Returns a request that was taken but not sent. */
     giveBack(): void {
         this.requests += 1;
     }
--- a/src/request/relay/limits/limitReport.ts
+++ b/src/request/relay/limits/limitReport.ts
@@ -1,7 +1,7 @@
 import type { EndpointLimit } from "./endpointLimit.ts";
 
-/** What a node tells its peers of an endpoint's limit. */
+/** Report of a node to its peers about an endpoint's rate limit. */
 export interface LimitReport extends EndpointLimit {
-    /** Requests a second that the node would send to the endpoint without the limit. */
+    /** Requests per second that the node would send to the endpoint without the limit. */
     demand: number;
 }
--- a/src/request/relay/limits/limitSharers.ts
+++ b/src/request/relay/limits/limitSharers.ts
@@ -1,7 +1,7 @@
-/** The nodes that share an endpoint's limit. */
+/** The nodes that share an endpoint's rate limit. */
 export interface LimitSharers {
     count: number;
-    /** Whether they are all nodes that live. */
+    /** Whether these are all live nodes. */
     areAll: boolean;
     /** Whether this node is one of them. */
     isOneOfThem: boolean;
--- a/src/request/relay/listCandidates.ts
+++ b/src/request/relay/listCandidates.ts
@@ -4,9 +4,9 @@
 import type { StageCandidate } from "./stageCandidate.ts";
 
 /**
- * Lists the endpoints of a model that can be stages now: those that hold layers.
- * @param environment - Directory, loads and health.
- * @param model - Figures of the model.
+ * Lists the endpoints of a model that can currently be stages, which are those that hold layers.
+ * @param environment - Provides the directory, the loads and the health of endpoints.
+ * @param model - Performance figures of the model.
  * @param service - Name of the service.
  */
 export function listCandidates(environment: RelayEnvironment, model: EngineModel, service: string): StageCandidate[] {
--- a/src/request/relay/listCrossings.ts
+++ b/src/request/relay/listCrossings.ts
@@ -1,7 +1,7 @@
 import type { Crossing } from "./crossing.ts";
 
 /**
- * Lists the ways between data centres that a chain's tokens take, in order.
+ * Lists the links between data centres that a chain uses, in order.
  * @param dataCentres - Data centres of the chain's stages, in order.
  */
 export function listCrossings(dataCentres: readonly string[]): Crossing[] {
--- a/src/request/relay/loadOfEndpoint.ts
+++ b/src/request/relay/loadOfEndpoint.ts
@@ -1,4 +1,4 @@
-/** What requests take of one endpoint. */
+/** Load that requests put on an endpoint. */
 export interface LoadOfEndpoint {
     endpointId: string;
     requests: number;
--- a/src/request/relay/loadReservation.ts
+++ b/src/request/relay/loadReservation.ts
@@ -1,5 +1,5 @@
-/** Gives back what a request has taken. */
+/** Load that is reserved for a request at its endpoints. */
 export interface LoadReservation {
-    /** Does nothing when called again. */
+    /** Releases the reserved load. Further calls have no effect. */
     release(): void;
 }
--- a/src/request/relay/mostRefusals.ts
+++ b/src/request/relay/mostRefusals.ts
@@ -1,2 +1,2 @@
-/** Refusals of endpoints are followed by another endpoint up to so many times, since they cost the caller nothing. */
+/** Maximum number of refusals by endpoints that are each followed by another attempt. Refusals cost the caller nothing. */
 export const mostRefusals = 4;
--- a/src/request/relay/noteRefusal.ts
+++ b/src/request/relay/noteRefusal.ts
@@ -3,7 +3,7 @@
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
 
-/** A refusal by an endpoint of a chain. */
+/** Refusal of a request by an endpoint of a chain. */
 interface EndpointRefusal {
     environment: Pick<RelayEnvironment, "clock" | "loads" | "health" | "log" | "refusals">;
     requestId: string;
@@ -11,17 +11,18 @@
     endpoint: RegisteredEndpoint;
     /** Status of its answer. */
     status: number;
-    /** Part of its memory that is known to be taken. */
+    /** Known fraction of its memory that is in use. */
     memoryPart: number;
 }
 
-/** The endpoint isn't the one that was meant, or doesn't hold the layers. */
+/** Status of an endpoint that isn't the intended one, or that doesn't hold the layers. */
 const misdirectedStatus = 421;
 
 /**
- * Notes why an endpoint refused: whether it was full, or leaving or lost. One that is full serves others as before, and to
- * take it for lost would take its room from all nodes, at twice the load and more until little is left.
- * @returns Ids of endpoints that the next chain avoids.
+ * Records why an endpoint refused a request: it is full, or else it is leaving or down. A full endpoint still serves other
+ * requests. If it counted as down, all nodes would lose its capacity, and under an overload of twice the capacity and more
+ * this would happen to one endpoint after another.
+ * @returns Ids of endpoints that the next chain must avoid.
  */
 export function noteRefusal({ environment, requestId, endpoint, status, memoryPart }: EndpointRefusal): string[] {
     const { clock, loads, health, log, refusals } = environment;
@@ -31,7 +32,7 @@
         log.write(events.endpointFull, { request: requestId, endpoint: endpoint.id, memoryPart });
         return [];
     }
-    // It is leaving, lost, or gives its layers up, which its record may not show for seconds.
+    // The endpoint is leaving, down, or unloads its layers, which its record may not show for seconds.
     health.addLoss(endpoint.id, now);
     void refusals.note(endpoint);
     return [endpoint.id];
--- a/src/request/relay/orderOutcome.ts
+++ b/src/request/relay/orderOutcome.ts
@@ -1,6 +1,6 @@
-/** How an endpoint took an order. */
+/** Result of an order to an endpoint. */
 export interface OrderOutcome {
     kind: "begun" | "done" | "misfit" | "fenced" | "unknownRequest" | "refused";
-    /** host:port of the endpoint at fault, where one is named. */
+    /** host:port of the endpoint that caused the failure, if one is named. */
     faultyAddress: string | undefined;
 }
