--- a/tests/request/relay/chooseSoundStages.test.ts
+++ b/tests/request/relay/chooseSoundStages.test.ts
@@ -13,19 +13,19 @@
 }
 
 describe("chooseSoundStages", () => {
-    it("does without endpoints that are taken as lost", () => {
+    it("doesn't use suspect endpoints if there are others", () => {
         assert.deepEqual(choose([lost, createCandidate("sound", 0, 40), last]), ["sound", "last"]);
     });
 
-    it("waits for room rather than to try a lost endpoint", () => {
+    it("waits for free memory instead of trying a suspect endpoint", () => {
         assert.equal(choose([lost, full, last]), undefined);
     });
 
-    it("takes a full endpoint before a lost one where it may not wait", () => {
+    it("prefers a full endpoint to a suspect one if it must not wait", () => {
         assert.deepEqual(choose([lost, full, last], { mayOverfill: true }), ["full", "last"]);
     });
 
-    it("tries a lost endpoint where no other holds its layers", () => {
+    it("tries a suspect endpoint if no other holds its layers", () => {
         assert.deepEqual(choose([lost, last]), ["lost", "last"]);
     });
 });
--- a/tests/request/relay/chooseStages.test.ts
+++ b/tests/request/relay/chooseStages.test.ts
@@ -14,22 +14,22 @@
 }
 
 describe("chooseStages", () => {
-    it("tiles all layers with replicas of columns", () => {
+    it("covers all layers when several endpoints hold the same ranges", () => {
         const candidates = [createCandidate("1", 0, 30), createCandidate("2", 30, 80), createCandidate("3", 30, 80)];
         const stages = chooseStages(query, candidates, () => 0);
         assertTiling(stages!, relayModel.layers);
     });
 
-    it("finds none where layers are missing", () => {
+    it("finds no chain if layers are missing", () => {
         assert.equal(choose([createCandidate("1", 0, 30), createCandidate("2", 31, 80)]), undefined);
     });
 
-    it("uses a part of what an endpoint holds where columns don't fit each other", () => {
+    it("runs a part of the held layers if the ranges of endpoints overlap", () => {
         const stages = chooseStages(query, [createCandidate("1", 0, 50), createCandidate("2", 30, 80)], () => 0);
         assertTiling(stages!, relayModel.layers);
     });
 
-    it("takes the replica with fewer requests, with free memory, and that is not slow", () => {
+    it("prefers replicas that have fewer requests, have free memory, or aren't slow", () => {
         const first = createCandidate("1", 0, 40);
         assert.deepEqual(
             choose([first, createCandidate("2", 40, 80, { requests: 60 }), createCandidate("3", 40, 80)]),
@@ -43,13 +43,13 @@
         ]);
     });
 
-    it("uses an endpoint without room only where it may", () => {
+    it("uses an endpoint without free memory only if overfilling is allowed", () => {
         const candidates = [createCandidate("1", 0, 40), createCandidate("2", 40, 80, { tokenLayers: 4_500_000 })];
         assert.deepEqual(choose(candidates), ["1", "2"]);
         assert.equal(choose(candidates, { mayOverfill: false }), undefined);
     });
 
-    it("stays in the caller's data centre where the load is alike", () => {
+    it("stays in the caller's data centre if the loads are equal", () => {
         const candidates = [
             createCandidate("1", 0, 40, { dataCentre: "b" }),
             createCandidate("2", 0, 40),
@@ -59,7 +59,7 @@
         assert.deepEqual(choose(candidates), ["2", "4"]);
     });
 
-    it("crosses to a less loaded replica, but not while the pipes are nearly full", () => {
+    it("uses a less loaded replica in another data centre, unless the links are nearly saturated", () => {
         const candidates = [
             createCandidate("1", 0, 40),
             createCandidate("2", 40, 80, { requests: 60 }),
@@ -69,7 +69,7 @@
         assert.deepEqual(choose(candidates, { pipeUse: 0.9 }), ["1", "2"]);
     });
 
-    it("crosses only where its node's part of the pipe is free, unless it has to go on at once", () => {
+    it("uses a link only if the node's share of it is free, unless the request must not wait", () => {
         const candidates = [createCandidate("1", 0, 40), createCandidate("2", 40, 80, { dataCentre: "b" })];
         const getPipeWait = (from: string, to: string) => from === "a" && to === "b" ? 100 : 0;
         assert.deepEqual(choose(candidates, { mayOverfill: false }), ["1", "2"]);
@@ -79,7 +79,7 @@
         assert.deepEqual(choose(inOtherCentre, { mayOverfill: false, getPipeWait }), ["3", "2"]);
     });
 
-    it("keeps away from a way between data centres that has become slow", () => {
+    it("avoids a link between data centres that has become slow", () => {
         const candidates = [
             createCandidate("1", 0, 40),
             createCandidate("2", 40, 80, { dataCentre: "b" }),
@@ -89,7 +89,7 @@
         assert.deepEqual(choose(candidates, { getCrossingDelay: (_from, to) => to === "b" ? 400 : 0 }), ["1", "3"]);
     });
 
-    it("begins where a connection is open, unless that endpoint has clearly more to do", () => {
+    it("prefers a first stage with an open connection, unless that endpoint is clearly more loaded", () => {
         const connected = createCandidate("1", 0, 40);
         const others = [createCandidate("2", 0, 40), createCandidate("3", 40, 80)];
         const isConnected = (address: string) => address === connected.endpoint.address;
@@ -98,7 +98,7 @@
         assert.deepEqual(choose([...others, busy], { isConnected }), ["2", "3"]);
     });
 
-    it("begins with the given first stage where a request is moved", () => {
+    it("keeps the given first stage when a request is moved to another chain", () => {
         const candidates = [
             createCandidate("1", 0, 40, { requests: 90 }),
             createCandidate("2", 0, 40),
@@ -108,7 +108,7 @@
         assert.deepEqual(choose(candidates, { firstStage }), ["1", "3"]);
     });
 
-    it("makes only chains that run each layer once and in order, whatever endpoints hold", () => {
+    it("creates only chains that run each layer once and in order, whichever layers endpoints hold", () => {
         const range = fc.tuple(fc.integer({ min: 0, max: 79 }), fc.integer({ min: 1, max: 80 }));
         fc.assert(
             fc.property(
--- a/tests/request/relay/crossingDelays.test.ts
+++ b/tests/request/relay/crossingDelays.test.ts
@@ -3,7 +3,7 @@
 import { CrossingDelays } from "../../../src/request/relay/crossingDelays.ts";
 
 describe("CrossingDelays", () => {
-    it("finds the way that has become slow, and forgets it with time", () => {
+    it("detects a link that has become slow, and its delay decays over time", () => {
         const delays = CrossingDelays.create();
         for (let now = 0; now < 1_000; now += 50) {
             delays.note(["a", "a"], 60, now);
--- a/tests/request/relay/documentRelay.test.ts
+++ b/tests/request/relay/documentRelay.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe("DocumentRelay", () => {
-    it("sends a request that can't be repeated elsewhere where its endpoint takes no connection", async () => {
+    it("sends a non-idempotent request to another endpoint if the first one accepts no connection", async () => {
         const bench = start(RequestKind.NonIdempotent);
         await bench.clock.advance(90);
         assert.equal(bench.sendings.length, 2);
@@ -20,7 +20,7 @@
         assert.notEqual(bench.sendings[1]!.address, bench.sendings[0]!.address);
     });
 
-    it("leaves a request that can't be repeated where a byte of it was sent, and doesn't know what became of it", async () => {
+    it("doesn't resend a non-idempotent request of which a byte was sent, and answers that it may have run", async () => {
         const bench = start(RequestKind.NonIdempotent);
         bench.sendings[0]!.sentAt = 0;
         await bench.clock.advance(1_100);
@@ -28,7 +28,7 @@
         assert.deepEqual(bench.answers, ["timedOut"]);
     });
 
-    it("says that nothing ran where no endpoint took a connection", async () => {
+    it("answers that the request was not run if no endpoint accepted a connection", async () => {
         for (const kind of [RequestKind.NonIdempotent, RequestKind.Idempotent]) {
             const bench = start(kind);
             await bench.clock.advance(1_100);
--- a/tests/request/relay/endpointHealth.test.ts
+++ b/tests/request/relay/endpointHealth.test.ts
@@ -3,7 +3,7 @@
 import { EndpointHealth } from "../../../src/request/relay/endpointHealth.ts";
 
 describe("EndpointHealth", () => {
-    it("takes an endpoint as lost for longer with each loss in a row, until it answers", () => {
+    it("increases the backoff with each consecutive failure of an endpoint, until it answers", () => {
         const health = EndpointHealth.create();
         health.addLoss("e", 0);
         assert.ok(health.isSuspect("e", 399));
@@ -14,14 +14,14 @@
         assert.ok(!health.isSuspect("e", 1_200));
     });
 
-    it("forgets failures with time", () => {
+    it("lets failures decay over time", () => {
         const health = EndpointHealth.create();
         health.addFailure("e", 0);
         const share = health.getFailureShare("e", 0);
         assert.ok(Math.abs(health.getFailureShare("e", 3_000) - share / 2) < 1e-9);
     });
 
-    it("takes a peer's suspicion over for the time that it lasts there", () => {
+    it("applies a peer's suspicion for its remaining time", () => {
         const health = EndpointHealth.create();
         health.addSuspicion({ endpointId: "e", remainingMilliseconds: 500, isRefusing: false }, 100);
         assert.ok(health.isSuspect("e", 599));
@@ -33,7 +33,7 @@
         }]);
     });
 
-    it("doesn't take a peer's suspicion over while events of the endpoint come here", () => {
+    it("ignores a peer's suspicion while this node receives events from the endpoint", () => {
         const health = EndpointHealth.create();
         health.noteAlive("e", 0);
         health.addSuspicion({ endpointId: "e", remainingMilliseconds: 1_000, isRefusing: false }, 200);
@@ -42,7 +42,7 @@
         assert.ok(health.isSuspect("e", 400));
     });
 
-    it("takes over from a peer that an endpoint refuses new requests, also while its events come here", () => {
+    it("applies a peer's report that an endpoint refuses new requests, also while this node receives events from it", () => {
         const health = EndpointHealth.create();
         health.noteAlive("e", 0);
         const suspicion = { endpointId: "e", remainingMilliseconds: 1_000, isRefusing: true };
@@ -57,7 +57,7 @@
         assert.ok(!health.isSuspect("e", 1_011));
     });
 
-    it("looks again later than the peers, by a time of its own", () => {
+    it("tries a refusing endpoint again with a jitter, after it stops reporting the refusal", () => {
         const health = EndpointHealth.create(() => 1);
         health.addRefusal("e", 0);
         assert.deepEqual(health.getSuspicions(3_001), []);
--- a/tests/request/relay/endpointLoads.test.ts
+++ b/tests/request/relay/endpointLoads.test.ts
@@ -9,7 +9,7 @@
 ];
 
 describe("EndpointLoads", () => {
-    it("counts a request at each stage until it is released, once", () => {
+    it("reserves the load of a request at each stage until it is released, and releases it only once", () => {
         const loads = EndpointLoads.create();
         const reservation = loads.reserveStages(stages, 100, 0);
         assert.deepEqual(loads.getLoad("2"), { endpointId: "2", requests: 1, tokenLayers: 3_000 });
@@ -19,7 +19,7 @@
         assert.deepEqual(loads.getOwnLoads(), []);
     });
 
-    it("adds what peers said last, and forgets peers that fell silent", () => {
+    it("adds the latest reports of peers, which expire when a peer stops reporting", () => {
         const loads = EndpointLoads.create();
         loads.setPeerLoads("p", [{ endpointId: "1", requests: 4, tokenLayers: 40 }], 0, 0);
         loads.setPeerLoads("p", [{ endpointId: "1", requests: 3, tokenLayers: 30 }], 0, 100);
@@ -29,7 +29,7 @@
         assert.deepEqual(loads.getLoad("1"), { endpointId: "1", requests: 1, tokenLayers: 10 });
     });
 
-    it("keeps the place of a request that ended for this node, for as long as peers take to hear of it", () => {
+    it("reserves the memory of an ended request for this node until peers know that it ended", () => {
         const loads = EndpointLoads.create();
         const reservation = loads.reserveStages(stages, 100, 0);
         loads.setPeerLoads("p", [{ endpointId: "1", requests: 9, tokenLayers: 9_500 }], 100, 0);
@@ -39,14 +39,14 @@
         assert.ok(loads.getRoom("1", 10_000, 100, 5_000) < 1_000);
     });
 
-    it("has no room at an endpoint that has just refused a request for want of it", () => {
+    it("has no available memory at an endpoint that has just refused a request for lack of it", () => {
         const loads = EndpointLoads.create();
         loads.noteFull("1", 0);
         assert.equal(loads.getRoom("1", 10_000, 100, 100), 0);
         assert.ok(loads.getRoom("1", 10_000, 100, 1_000) > 0);
     });
 
-    it("tells when room has come free", () => {
+    it("calls back when memory may have become available", () => {
         let released = 0;
         const loads = EndpointLoads.create(() => released += 1);
         loads.reserveStages(stages, 100, 0).release();
@@ -54,13 +54,13 @@
         assert.equal(released, 2);
     });
 
-    it("gives a node its part of the demand, and takes nodes that it has not heard of for average ones", () => {
+    it("gets the share of the demand, and counts nodes without a report with the average demand", () => {
         const loads = EndpointLoads.create();
         assert.equal(loads.getDemandPart(0, 4), 1 / 4);
         assert.equal(loads.getDemandPart(100, 4), 1 / 4);
         loads.setPeerLoads("one", [], 50, 0);
         assert.equal(loads.getDemandPart(100, 3), 100 / (100 + 2 * 50));
-        // A node without requests keeps a small part for what may come next.
+        // A node without requests keeps a minimum share for requests that may come next.
         assert.equal(loads.getDemandPart(0, 4), 1 / 16);
     });
 });
--- a/tests/request/relay/eventSplitter.test.ts
+++ b/tests/request/relay/eventSplitter.test.ts
@@ -6,14 +6,14 @@
 const text = "id: 1\ndata: a\n\n: note\n\nweight: 2\nid: 22\r\ndata: b\r\n\r\nid:3\ndata: \u00e9\n\nid: 4\nda";
 
 describe("EventSplitter", () => {
-    it("gives whole events with their ids, and keeps back what isn't whole", () => {
+    it("returns complete events with their ids, and retains an incomplete one", () => {
         const splitter = EventSplitter.create();
         const events = splitter.push(Buffer.from(text));
         assert.deepEqual(events.map(({ id }) => id), [1, undefined, 22, 3]);
         assert.ok(splitter.hasRest());
     });
 
-    it("gives the same events however the bytes are cut, and changes none", () => {
+    it("returns the same events with the same bytes, however the stream is split into chunks", () => {
         const bytes = Buffer.from(text);
         const whole = EventSplitter.create().push(bytes);
         fc.assert(fc.property(fc.array(fc.integer({ min: 0, max: bytes.length })), cuts => {
--- a/tests/request/relay/fingerprintRequest.test.ts
+++ b/tests/request/relay/fingerprintRequest.test.ts
@@ -8,13 +8,13 @@
     const { request } = RelayBench.create([]).createTask(RequestKind.Stream);
     const original = fingerprintRequest(request, "customer");
 
-    it("is the same when the caller sends the request again", () => {
+    it("is the same when the caller retries the request", () => {
         const again = { ...request, id: "another", arrivedAt: 7, lastEventId: 3, body: Buffer.from(request.body) };
         assert.equal(fingerprintRequest(again, "customer"), original);
     });
 
-    it("differs where the caller, the path or the body does", () => {
-        const others = [
+    it("differs if the customer, the method, the host, the path or the body differs", () => {
+        const variants = [
             fingerprintRequest(request, "other"),
             fingerprintRequest(request, undefined),
             fingerprintRequest({ ...request, method: "GET" }, "customer"),
@@ -22,6 +22,6 @@
             fingerprintRequest({ ...request, target: "/other" }, "customer"),
             fingerprintRequest({ ...request, body: Buffer.from("other") }, "customer"),
         ];
-        assert.equal(new Set([original, ...others]).size, others.length + 1);
+        assert.equal(new Set([original, ...variants]).size, variants.length + 1);
     });
 });
--- a/tests/request/relay/getOwnRoom.test.ts
+++ b/tests/request/relay/getOwnRoom.test.ts
@@ -6,23 +6,23 @@
 const memory = { own: 0, ownPeak: 0, others: 0, total: 1_000, share: 0.1 };
 
 describe("getOwnRoom", () => {
-    it("gives all but a margin of an empty endpoint", () => {
+    it("returns all but a margin of an empty endpoint's memory", () => {
         const room = getOwnRoom(memory);
         assert.ok(room > 900 && room <= 1_000);
     });
 
-    it("gives a node the place back that one of its requests has left at a full endpoint, and no more", () => {
+    it("returns only the memory that the node's own requests have released if the endpoint is full", () => {
         const full = { ...memory, ownPeak: 200, others: 850 };
         assert.equal(getOwnRoom({ ...full, own: 200 }), 0);
         assert.equal(getOwnRoom({ ...full, own: 150 }), 50);
     });
 
-    it("takes back a node's share of what is too much", () => {
+    it("is negative by the node's share of the excess if too much memory is reserved", () => {
         const room = getOwnRoom({ ...memory, own: 200, ownPeak: 200, others: 1_050 });
         assert.ok(Math.abs(room + 20) < 1e-9);
     });
 
-    it("keeps all nodes together within a full endpoint's memory, where each fills its room on the same news", () => {
+    it("keeps all nodes together within the endpoint's memory, if each uses its available memory on the same information", () => {
         const nodeParts = fc.array(fc.integer({ min: 1, max: 100 }), { minLength: 2, maxLength: 9 });
         const filledPart = fc.double({ min: 1, max: 1.2, noNaN: true });
         fc.assert(fc.property(nodeParts, filledPart, (parts, part) => {
--- a/tests/request/relay/limits/endpointLimits.test.ts
+++ b/tests/request/relay/limits/endpointLimits.test.ts
@@ -5,7 +5,7 @@
 import { LimitBench } from "./limitBench.ts";
 
 const namedAt = 5_000;
-/** From this time after it first named a limit an endpoint is held to it. */
+/** Time after an endpoint first states a limit from which nodes must keep it. */
 const settleMilliseconds = 3_000;
 
 function getAllowed(limit: number): number {
@@ -27,7 +27,7 @@
 
     const endpoint = createEndpoint("x", { kind: "middle" });
 
-    it("tells when an endpoint begins, changes and ceases to name a limit, and not between", () => {
+    it("logs and reports when an endpoint starts, changes and ends its limit, but no repetitions", () => {
         const { lines, limits, countNews } = create();
         for (const rate of [undefined, 2, 2, 3.5, undefined, undefined]) {
             limits.noteAnswer("x", rate, 0);
@@ -41,7 +41,7 @@
         assert.equal(countNews(), 3);
     });
 
-    it("forgets endpoints that are gone", () => {
+    it("removes endpoints that are no longer registered", () => {
         const { lines, limits } = create();
         limits.noteAnswer("x", 2, 0);
         limits.retain(new Set(["y"]));
@@ -49,7 +49,7 @@
         assert.equal(lines.length, 1);
     });
 
-    it("holds nothing back where there is no limit, and all where others share it", () => {
+    it("allows all requests without a limit, and none if only other nodes share the limit", () => {
         const { limits } = create({ count: 7, areAll: false, isOneOfThem: false });
         assert.ok(limits.take(endpoint, 0));
         limits.noteAnswer("x", 2, 0);
@@ -58,7 +58,7 @@
         assert.ok(limits.take(endpoint, 10_000));
     });
 
-    it("gives back what was taken and not sent", () => {
+    it("returns a request that was taken but not sent", () => {
         const { limits } = create();
         limits.noteAnswer("x", 1, 0);
         limits.take(endpoint, 0);
@@ -74,7 +74,7 @@
         assert.equal(takeAll(), 1);
     });
 
-    it("takes a peer's word where it is newer, also on the end of a limit", () => {
+    it("applies a peer's report if it is newer, also about the end of a limit", () => {
         const { limits } = create();
         const tell = (requestsPerSecond: number | undefined, at: number, now: number) =>
             limits.takeReports("peer", [{ endpointId: "x", requestsPerSecond, at, demand: 1 }], now);
@@ -91,7 +91,7 @@
         assert.deepEqual(limits.listReports(14_000), []);
     });
 
-    it("tells callers to come back at the pace of this node's part", () => {
+    it("spreads the retries of callers at the rate of this node's share", () => {
         const { limits } = create();
         limits.noteAnswer("x", 2, 0);
         limits.take(endpoint, 0);
@@ -102,7 +102,7 @@
 
     for (const [nodes, requestsPerSecond] of [[2, 40], [6, 55], [9, 55], [63, 240]] as const) {
         for (const limit of [1.3, 3.5, 10]) {
-            it(`keeps ${nodes} nodes within ${limit} a second together, and uses it`, () => {
+            it(`keeps ${nodes} nodes together within a limit of ${limit} requests per second, and uses it`, () => {
                 for (const seed of [1, 2, 3]) {
                     const getWishedPart = () => 0.5;
                     const getLimit = (now: number) => now >= namedAt ? limit : undefined;
@@ -118,7 +118,7 @@
     }
 
     for (const nodes of [6, 9, 12]) {
-        it(`keeps ${nodes} nodes within a limit where another endpoint is lost and all turn to this one`, () => {
+        it(`keeps ${nodes} nodes within a limit when another endpoint fails and all requests go to this one`, () => {
             for (const limit of [1.3, 3.5, 10]) {
                 for (const seed of [1, 2, 3]) {
                     const getWishedPart = (now: number) => now > 12_000 ? 0.8 : 0.05;
@@ -133,7 +133,7 @@
         });
     }
 
-    it("follows a limit that falls, ends and comes back, while a node starts again", () => {
+    it("follows a limit that decreases, ends and starts again, while a node restarts", () => {
         for (const seed of [1, 2, 3, 4, 5]) {
             const getLimit = (now: number) => {
                 if (now < 5_000 || now >= 20_000 && now < 26_000) {
@@ -153,7 +153,7 @@
         }
     });
 
-    it("gives most of a limit to the node that most of the demand comes to", () => {
+    it("gives most of a limit to the node with most of the demand", () => {
         const getLimit = (now: number) => now >= namedAt ? 3 : undefined;
         const getWishedPart = () => 0.3;
         const options = { seed: 1, nodes: 6, requestsPerSecond: 10, getWishedPart, getLimit, firstPart: 0.9 };
--- a/tests/request/relay/limits/limitBench.ts
+++ b/tests/request/relay/limits/limitBench.ts
@@ -7,27 +7,27 @@
 interface LimitBenchOptions {
     seed: number;
     nodes: number;
-    /** Requests a second of the service that come to all nodes together. */
+    /** Requests per second for the service that arrive at all nodes together. */
     requestsPerSecond: number;
-    /** Gets the part of them that would be sent to the endpoint at a time in milliseconds. */
+    /** Gets the fraction of them that would be sent to the endpoint at a time in milliseconds. */
     getWishedPart(now: number): number;
-    /** Gets the limit that the endpoint names at a time in milliseconds; undefined where it names none. */
+    /** Gets the limit that the endpoint states at a time in milliseconds; undefined if it states none. */
     getLimit(now: number): number | undefined;
-    /** Part of the demand that comes to the first node; the others have equal parts. Default: an equal part. */
+    /** Fraction of the demand that arrives at the first node; the others have equal shares. Default: an equal share. */
     firstPart?: number;
 }
 
 const answerMilliseconds = 70;
-const roundMilliseconds = 400;
-const wayMilliseconds = 3;
+const exchangeIntervalMilliseconds = 400;
+const networkDelayMilliseconds = 3;
 const stepMilliseconds = 10;
 const secondMilliseconds = 1_000;
 const windowMilliseconds = 4_000;
 const endpoint = createEndpoint("limited", { kind: "middle" });
 
-/** Nodes that share the limit of one endpoint, in virtual time: requests at random moments, and exchanges by rounds as nodes make them. */
+/** Simulates nodes that share the limit of an endpoint, with random requests and periodic exchanges in virtual time. */
 export class LimitBench {
-    /** Times at which requests came to the endpoint, in milliseconds. */
+    /** Times at which requests arrived at the endpoint, in milliseconds. */
     readonly arrivals: number[] = [];
     readonly clock = VirtualClock.create();
     private readonly options: LimitBenchOptions;
@@ -39,12 +39,12 @@
         this.random = createSeededRandom(options.seed);
         for (let index = 0; index < options.nodes; index++) {
             this.nodes.push(this.createNode(index));
-            this.clock.setTimer(this.random() * roundMilliseconds, () => this.exchange(index));
+            this.clock.setTimer(this.random() * exchangeIntervalMilliseconds, () => this.exchange(index));
         }
         this.clock.setTimer(stepMilliseconds, () => this.step());
     }
 
-    /** Creates nodes that know of no limit. */
+    /** Creates nodes without known limits. */
     static create(options: LimitBenchOptions): LimitBench {
         return new LimitBench(options);
     }
@@ -54,12 +54,12 @@
         this.clock.runTimersUntil(time);
     }
 
-    /** Starts a node again, so that it knows nothing. */
+    /** Restarts a node, so that it loses its state. */
     restart(index: number): void {
         this.nodes[index] = this.createNode(index);
     }
 
-    /** Gets the most requests in any window between two times. */
+    /** Gets the maximum number of requests in any window between two times. */
     getMost(from: number, to: number): number {
         const times = this.arrivals.filter(time => time >= from && time < to);
         let most = 0;
@@ -73,7 +73,7 @@
         return most;
     }
 
-    /** Gets the mean of the requests a second between two times. */
+    /** Gets the mean requests per second between two times. */
     getRate(from: number, to: number): number {
         return this.arrivals.filter(time => time >= from && time < to).length * secondMilliseconds / (to - from);
     }
@@ -119,16 +119,16 @@
     private exchange(index: number): void {
         const other = Math.floor(this.random() * this.options.nodes);
         if (other !== index) {
-            this.tell(index, other);
-            this.tell(other, index);
+            this.sendReports(index, other);
+            this.sendReports(other, index);
         }
-        this.clock.setTimer(roundMilliseconds * (0.8 + 0.4 * this.random()), () => this.exchange(index));
+        this.clock.setTimer(exchangeIntervalMilliseconds * (0.8 + 0.4 * this.random()), () => this.exchange(index));
     }
 
-    private tell(from: number, to: number): void {
+    private sendReports(from: number, to: number): void {
         const sentAt = this.clock.getMonotonicTime();
         const reports = this.nodes[from]!.listReports(sentAt);
-        this.clock.setTimer(wayMilliseconds, () => {
+        this.clock.setTimer(networkDelayMilliseconds, () => {
             const now = this.clock.getMonotonicTime();
             const received = reports.map(report => ({ ...report, at: report.at + now - sentAt }));
             this.nodes[to]!.takeReports(`node-${from}`, received, now);
--- a/tests/request/relay/noteRefusal.test.ts
+++ b/tests/request/relay/noteRefusal.test.ts
@@ -16,11 +16,11 @@
 }
 
 describe("noteRefusal", () => {
-    it("takes a refusal of an endpoint that is nearly full for want of room", () => {
+    it("treats a refusal by a nearly full endpoint as a lack of memory", () => {
         assert.deepEqual(refuse(503, 0.9), { avoided: [], isSuspect: false, room: 0 });
     });
 
-    it("takes any other refusal for that of an endpoint that is leaving or lost", () => {
+    it("treats any other refusal as that of an endpoint that is leaving or down", () => {
         for (const [status, memoryPart] of [[503, 0.2], [421, 0.9]] as const) {
             const { avoided, isSuspect, room } = refuse(status, memoryPart);
             assert.deepEqual(avoided, ["1"]);
