--- a/tests/request/relay/limits/endpointLimits.test.ts
+++ b/tests/request/relay/limits/endpointLimits.test.ts
@@ -104,11 +104,11 @@
         for (const limit of [1.3, 3.5, 10]) {
             it(`keeps ${nodes} nodes together within a limit of ${limit} requests per second, and uses it`, () => {
                 for (const seed of [1, 2, 3]) {
-                    const getWishedPart = () => 0.5;
+                    const getDemandFraction = () => 0.5;
                     const getLimit = (now: number) => now >= namedAt ? limit : undefined;
-                    const bench = LimitBench.create({ seed, nodes, requestsPerSecond, getWishedPart, getLimit });
+                    const bench = LimitBench.create({ seed, nodes, requestsPerSecond, getDemandFraction, getLimit });
                     bench.runUntil(20_000);
-                    const most = bench.getMost(namedAt + settleMilliseconds, 20_000);
+                    const most = bench.getMaximumRequests(namedAt + settleMilliseconds, 20_000);
                     assert.ok(most <= getAllowed(limit), `${most} in 4 s, seed ${seed}`);
                     const rate = bench.getRate(namedAt + settleMilliseconds, 20_000);
                     assert.ok(rate >= 0.5 * limit, `only ${rate} a second, seed ${seed}`);
@@ -121,12 +121,12 @@
         it(`keeps ${nodes} nodes within a limit when another endpoint fails and all requests go to this one`, () => {
             for (const limit of [1.3, 3.5, 10]) {
                 for (const seed of [1, 2, 3]) {
-                    const getWishedPart = (now: number) => now > 12_000 ? 0.8 : 0.05;
+                    const getDemandFraction = (now: number) => now > 12_000 ? 0.8 : 0.05;
                     const getLimit = (now: number) => now >= namedAt ? limit : undefined;
-                    const options = { seed, nodes, requestsPerSecond: 55, getWishedPart, getLimit };
+                    const options = { seed, nodes, requestsPerSecond: 55, getDemandFraction, getLimit };
                     const bench = LimitBench.create(options);
                     bench.runUntil(20_000);
-                    const most = bench.getMost(namedAt + settleMilliseconds, 20_000);
+                    const most = bench.getMaximumRequests(namedAt + settleMilliseconds, 20_000);
                     assert.ok(most <= getAllowed(limit), `${most} in 4 s, limit ${limit}, seed ${seed}`);
                 }
             }
@@ -141,22 +141,25 @@
                 }
                 return now < 12_000 ? 10 : 2;
             };
-            const getWishedPart = () => 0.5;
-            const bench = LimitBench.create({ seed, nodes: 6, requestsPerSecond: 55, getWishedPart, getLimit });
+            const getDemandFraction = () => 0.5;
+            const bench = LimitBench.create({ seed, nodes: 6, requestsPerSecond: 55, getDemandFraction, getLimit });
             bench.runUntil(14_000);
             bench.restart(2);
             bench.runUntil(34_000);
-            assert.ok(bench.getMost(8_000, 12_000) <= getAllowed(10));
-            assert.ok(bench.getMost(13_000, 20_000) <= getAllowed(2), `${bench.getMost(13_000, 20_000)}, seed ${seed}`);
+            assert.ok(bench.getMaximumRequests(8_000, 12_000) <= getAllowed(10));
+            assert.ok(
+                bench.getMaximumRequests(13_000, 20_000) <= getAllowed(2),
+                `${bench.getMaximumRequests(13_000, 20_000)}, seed ${seed}`,
+            );
             assert.ok(bench.getRate(21_500, 26_000) >= 0.85 * 27.5, `only ${bench.getRate(21_500, 26_000)} a second`);
-            assert.ok(bench.getMost(29_000, 34_000) <= getAllowed(2));
+            assert.ok(bench.getMaximumRequests(29_000, 34_000) <= getAllowed(2));
         }
     });
 
     it("gives most of a limit to the node with most of the demand", () => {
         const getLimit = (now: number) => now >= namedAt ? 3 : undefined;
-        const getWishedPart = () => 0.3;
-        const options = { seed: 1, nodes: 6, requestsPerSecond: 10, getWishedPart, getLimit, firstPart: 0.9 };
+        const getDemandFraction = () => 0.3;
+        const options = { seed: 1, nodes: 6, requestsPerSecond: 10, getDemandFraction, getLimit, firstNodeShare: 0.9 };
         const bench = LimitBench.create(options);
         bench.runUntil(40_000);
         const rate = bench.getRate(15_000, 40_000);
--- a/tests/request/relay/limits/limitBench.ts
+++ b/tests/request/relay/limits/limitBench.ts
@@ -10,11 +10,11 @@
     /** Requests per second for the service that arrive at all nodes together. */
     requestsPerSecond: number;
     /** Gets the fraction of them that would be sent to the endpoint at a time in milliseconds. */
-    getWishedPart(now: number): number;
+    getDemandFraction(now: number): number;
     /** Gets the limit that the endpoint states at a time in milliseconds; undefined if it states none. */
     getLimit(now: number): number | undefined;
     /** Fraction of the demand that arrives at the first node; the others have equal shares. Default: an equal share. */
-    firstPart?: number;
+    firstNodeShare?: number;
 }
 
 const answerMilliseconds = 70;
@@ -60,7 +60,7 @@
     }
 
     /** Gets the maximum number of requests in any window between two times. */
-    getMost(from: number, to: number): number {
+    getMaximumRequests(from: number, to: number): number {
         const times = this.arrivals.filter(time => time >= from && time < to);
         let most = 0;
         let first = 0;
@@ -92,11 +92,11 @@
 
     private step(): void {
         const now = this.clock.getMonotonicTime();
-        const { requestsPerSecond, nodes, firstPart = 1 / nodes } = this.options;
+        const { requestsPerSecond, nodes, firstNodeShare = 1 / nodes } = this.options;
         const inStep = requestsPerSecond * stepMilliseconds / secondMilliseconds;
         for (let left = inStep; left > 0; left -= 1) {
             if (this.random() < left) {
-                const isFirst = this.random() < firstPart;
+                const isFirst = this.random() < firstNodeShare;
                 this.send(isFirst ? 0 : 1 + Math.floor(this.random() * (nodes - 1)), now);
             }
         }
@@ -106,7 +106,7 @@
     private send(index: number, now: number): void {
         const limits = this.nodes[index]!;
         limits.noteRequest(endpoint.service, now);
-        if (this.random() < this.options.getWishedPart(now) && limits.take(endpoint, now)) {
+        if (this.random() < this.options.getDemandFraction(now) && limits.take(endpoint, now)) {
             this.arrivals.push(now);
             const limit = this.options.getLimit(now);
             this.clock.setTimer(
