--- a/src/process/orders/countMissingLayers.ts
+++ b/src/process/orders/countMissingLayers.ts
@@ -1,9 +1,9 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
 /**
- * Counts the layers of a range that are not held; 0 where all are.
- * @param held - Ranges that are held; they may touch or overlap.
- * @param range - Range that is asked for.
+ * Counts the layers of a range that no held range contains.
+ * @param held - Ranges that are held; they may be adjacent or overlap.
+ * @param range - Range to check.
  */
 export function countMissingLayers(held: readonly LayerRange[], range: LayerRange): number {
     let missing = 0;
--- a/src/process/orders/engineGrace.ts
+++ b/src/process/orders/engineGrace.ts
@@ -3,18 +3,24 @@
 
 interface ObservedState {
     state: EndpointState["state"];
-    /** Time for which it was seen so, in milliseconds; infinite for one that served at first sight. */
-    observedMilliseconds: number;
-    /** Whether it was leaving before it went unreachable. */
+    /**
+     * Time spent in this state, in milliseconds; infinite for an engine that was serving when it was first observed.
+     */
+    durationMilliseconds: number;
+    /** Whether the previous state was `leaving`. */
     wasLeaving: boolean;
 }
 
-/** Observations further apart than this count as this far apart, in milliseconds: this process was paused itself. */
-const maximumGapMilliseconds = 2_000;
+/**
+ * Longest time that is counted between two observations. A longer gap means that this process was paused, and the pause
+ * says nothing about the engines.
+ */
+const maximumObservationGapMilliseconds = 2_000;
 
 /**
- * Gives engines that have just vanished, or have just come back, a grace time. An engine that is leaving gets none: it
- * will go.
+ * Applies a grace period to state changes of engines: an engine that becomes unreachable keeps counting as a holder,
+ * and one that recovers is given no load until the period is over. An engine that is leaving gets no grace period,
+ * since it is shutting down on purpose.
  */
 export class EngineGrace {
     private readonly graceMilliseconds: number;
@@ -25,24 +31,25 @@
         this.graceMilliseconds = graceMilliseconds;
     }
 
-    /** Creates a grace that has observed nothing. */
+    /** Creates an instance without observations. */
     static create(graceMilliseconds: number): EngineGrace {
         return new EngineGrace(graceMilliseconds);
     }
 
     /**
-     * Takes the states of all endpoints; those that are absent are forgotten.
-     * @param states - What this node believes now.
+     * Records the current states and gets the engines with the grace period applied. Endpoints that are absent are no
+     * longer tracked.
+     * @param states - States of all endpoints as this node sees them.
      * @param now - Monotonic time in milliseconds.
      */
     observe(states: readonly EndpointState[], now: number): ObservedEngine[] {
-        const gapMilliseconds = Math.min(maximumGapMilliseconds, now - (this.observedAt ?? now));
+        const gapMilliseconds = Math.min(maximumObservationGapMilliseconds, now - (this.observedAt ?? now));
         this.observedAt = now;
         const engines: ObservedEngine[] = [];
         const names = new Set<string>();
         for (const state of states) {
             names.add(state.endpoint);
-            engines.push(this.observeOne(state, gapMilliseconds));
+            engines.push(this.observeEndpoint(state, gapMilliseconds));
         }
         for (const name of this.observed.keys()) {
             if (!names.has(name)) {
@@ -52,18 +59,18 @@
         return engines;
     }
 
-    private observeOne({ endpoint, layers, state }: EndpointState, gapMilliseconds: number): ObservedEngine {
+    private observeEndpoint({ endpoint, layers, state }: EndpointState, gapMilliseconds: number): ObservedEngine {
         const observed = getNextState(this.observed.get(endpoint), state, gapMilliseconds);
         this.observed.set(endpoint, observed);
         const isServing = state === "serving";
-        const isPastGrace = observed.observedMilliseconds >= this.graceMilliseconds;
-        const hasJustVanished = state === "unreachable" && !observed.wasLeaving && !isPastGrace;
+        const isGraceOver = observed.durationMilliseconds >= this.graceMilliseconds;
+        const isInUnreachableGrace = state === "unreachable" && !observed.wasLeaving && !isGraceOver;
         return {
             endpoint,
             layers,
-            isHolder: isServing || hasJustVanished,
+            isHolder: isServing || isInUnreachableGrace,
             isServing,
-            isSteady: isServing && isPastGrace,
+            isSteady: isServing && isGraceOver,
         };
     }
 }
@@ -74,10 +81,10 @@
     gapMilliseconds: number,
 ): ObservedState {
     if (last === undefined) {
-        return { state, observedMilliseconds: state === "serving" ? Infinity : 0, wasLeaving: false };
+        return { state, durationMilliseconds: state === "serving" ? Infinity : 0, wasLeaving: false };
     }
     if (last.state === state) {
-        return { ...last, observedMilliseconds: last.observedMilliseconds + gapMilliseconds };
+        return { ...last, durationMilliseconds: last.durationMilliseconds + gapMilliseconds };
     }
-    return { state, observedMilliseconds: 0, wasLeaving: last.state === "leaving" };
+    return { state, durationMilliseconds: 0, wasLeaving: last.state === "leaving" };
 }
--- a/src/process/orders/engineStatuses.ts
+++ b/src/process/orders/engineStatuses.ts
@@ -2,10 +2,10 @@
 import type { RandomSource } from "../randomSource.ts";
 import type { OrderDispatcherOptions } from "./orderDispatcherOptions.ts";
 
-/** Engines whose free memory is read for one plan; of more, as many are drawn at random. */
-const maximumDraws = 32;
+/** Most engines whose free memory is read for one plan; if there are more, a random sample of this size is read. */
+const maximumSampleSize = 32;
 
-/** Reads engines' own statuses. */
+/** Reads statuses from the engines themselves. */
 export class EngineStatuses {
     private readonly getStatus: OrderDispatcherOptions["getStatus"];
     private readonly random: RandomSource;
@@ -15,12 +15,11 @@
         this.random = random;
     }
 
-    /** Creates a reader. */
     static create(getStatus: OrderDispatcherOptions["getStatus"], random: RandomSource): EngineStatuses {
         return new EngineStatuses(getStatus, random);
     }
 
-    /** Reads the statuses of engines at the same time; those that do not answer are absent from the result. */
+    /** Reads the statuses of engines concurrently. Engines that do not answer are absent from the result. */
     async read(endpoints: readonly string[]): Promise<Map<string, EngineStatus>> {
         const statuses = new Map<string, EngineStatus>();
         await Promise.all(endpoints.map(async endpoint => {
@@ -32,10 +31,12 @@
         return statuses;
     }
 
-    /** Reads how many positions still fit in the memory of engines; those that are leaving are absent. */
+    /**
+     * Reads how many positions still fit in the memory of engines. Engines that are leaving are absent from the result.
+     */
     async readFreePositions(endpoints: readonly string[]): Promise<Map<string, number>> {
         const freePositions = new Map<string, number>();
-        for (const [endpoint, status] of await this.read(this.draw([...endpoints]))) {
+        for (const [endpoint, status] of await this.read(this.sample([...endpoints]))) {
             if (!status.leaving) {
                 freePositions.set(endpoint, status.freePositions);
             }
@@ -43,11 +44,11 @@
         return freePositions;
     }
 
-    private draw(names: string[]): string[] {
-        const drawn: string[] = [];
-        while (names.length > 0 && drawn.length < maximumDraws) {
-            drawn.push(...names.splice(Math.floor(this.random() * names.length), 1));
+    private sample(names: string[]): string[] {
+        const chosen: string[] = [];
+        while (names.length > 0 && chosen.length < maximumSampleSize) {
+            chosen.push(...names.splice(Math.floor(this.random() * names.length), 1));
         }
-        return drawn;
+        return chosen;
     }
 }
--- a/src/process/orders/findShortages.ts
+++ b/src/process/orders/findShortages.ts
@@ -3,19 +3,19 @@
 import type { RangeShortage } from "./rangeShortage.ts";
 
 /**
- * Finds the ranges of layers that too few engines hold, those without any holder first. Only models count that a service
- * depends on. A range is cut where ranges of the configuration start or end, and never longer than the longest of these,
- * so that one engine can load it.
- * @param configuration - Configuration in force.
- * @param coverage - Which engines hold each layer.
- * @param wantedHolders - Engines that each layer should have.
+ * Finds the ranges of layers that too few engines hold, ordered by ascending number of holders. Only models that a
+ * service uses are considered. A range is split where configured ranges start or end, and is no longer than the longest
+ * configured range, so that one engine can load it.
+ * @param configuration - Current configuration.
+ * @param coverage - Engines that hold each layer.
+ * @param wantedHolders - Number of engines that should hold each layer.
  */
 export function findShortages(
     configuration: Configuration,
     coverage: LayerCoverage,
     wantedHolders: number,
 ): RangeShortage[] {
-    const longest = getLongestRange(configuration);
+    const maximumLength = getLongestRange(configuration);
     const shortages: RangeShortage[] = [];
     for (const model of getUsedModels(configuration)) {
         const boundaries = getBoundaries(configuration, model);
@@ -27,7 +27,7 @@
                 last = undefined;
                 continue;
             }
-            const isFull = last !== undefined && last.range.end - last.range.start >= longest;
+            const isFull = last !== undefined && last.range.end - last.range.start >= maximumLength;
             if (last === undefined || last.holders !== holders || boundaries.has(layer) || isFull) {
                 last = { range: { model, start: layer, end: layer }, holders };
                 shortages.push(last);
@@ -35,7 +35,7 @@
             last.range.end = layer + 1;
         }
     }
-    // The sort is stable: models and layers stay in their order.
+    // The sort is stable, so ranges with equally many holders stay in the order of models and layers.
     return shortages.sort((left, right) => left.holders - right.holders);
 }
 
@@ -62,11 +62,11 @@
 }
 
 function getLongestRange(configuration: Configuration): number {
-    let longest = 0;
+    let maximumLength = 0;
     for (const { layers } of Object.values(configuration.endpoints)) {
         for (const range of layers) {
-            longest = Math.max(longest, range.end - range.start);
+            maximumLength = Math.max(maximumLength, range.end - range.start);
         }
     }
-    return longest === 0 ? Infinity : longest;
+    return maximumLength === 0 ? Infinity : maximumLength;
 }
--- a/src/process/orders/layerCoverage.ts
+++ b/src/process/orders/layerCoverage.ts
@@ -2,7 +2,7 @@
 import type { ObservedEngine } from "./observedEngine.ts";
 import type { PlannedLoad } from "./plannedLoad.ts";
 
-/** Which engines hold each layer of each model. */
+/** Index of the engines that hold each layer of each model. */
 export class LayerCoverage {
     private readonly holders = new Map<string, Set<string>[]>();
 
@@ -13,10 +13,10 @@
     }
 
     /**
-     * Creates the coverage.
-     * @param models - Models of the configuration; layers that they do not have are passed over.
-     * @param engines - Engines, of which those that are holders count.
-     * @param loads - Loads under way, which count as if they were done.
+     * Creates the index.
+     * @param models - Models of the configuration; layers beyond their number of layers are ignored.
+     * @param engines - Engines; only those that count as holders are included.
+     * @param loads - Loads in progress, which count as completed.
      */
     static create(
         models: Configuration["models"],
@@ -40,10 +40,10 @@
         return this.holders.get(model)?.[layer]?.size ?? 0;
     }
 
-    /** Whether an engine is the only one that holds some layer of another model than the given one. */
+    /** Gets if an engine is the only holder of any layer of a model other than the given one. */
     isOnlyHolderBeside({ endpoint, layers }: ObservedEngine, model: string): boolean {
         for (const range of layers) {
-            for (const holders of range.model === model ? [] : this.getRange(range)) {
+            for (const holders of range.model === model ? [] : this.getHolderSets(range)) {
                 if (holders.size === 1 && holders.has(endpoint)) {
                     return true;
                 }
@@ -53,12 +53,12 @@
     }
 
     private add(endpoint: string, range: LayerRange): void {
-        for (const holders of this.getRange(range)) {
+        for (const holders of this.getHolderSets(range)) {
             holders.add(endpoint);
         }
     }
 
-    private getRange({ model, start, end }: LayerRange): Set<string>[] {
+    private getHolderSets({ model, start, end }: LayerRange): Set<string>[] {
         return this.holders.get(model)?.slice(start, end) ?? [];
     }
 }
--- a/src/process/orders/loadLedger.ts
+++ b/src/process/orders/loadLedger.ts
@@ -4,62 +4,62 @@
 import type { PlannedLoad } from "./plannedLoad.ts";
 import type { RecordedLoad } from "./recordedLoad.ts";
 
-/** A load that was decided upon within the last minute, or that is under way. */
+/** A load that is in progress, or that was planned within the last minute. */
 interface OrderedLoad extends RecordedLoad {
-    /** Monotonic time of the decision, or of learning of it, in milliseconds. */
+    /** Monotonic time at which the load was planned, or restored from the record, in milliseconds. */
     startedAt: number;
-    /** Whether the engine has taken the order. */
+    /** Whether the engine has accepted the order. */
     isSent: boolean;
-    /** Whether the engine's status has shown the range. */
+    /** Whether the engine's own status contains all layers of the range. */
     isConfirmed: boolean;
 }
 
 /** How a load ended. */
 interface LoadEnd {
     load: PlannedLoad;
-    /** Why it was given up; undefined where the engine holds the range. */
+    /** Reason for the failure; undefined if the engine holds the range. */
     failure?: string;
 }
 
 const millisecondsPerMinute = 60_000;
 
-/** The loads under way, and the budget of loads that keeps to the weight store's limits. */
+/** Tracks the loads in progress and limits how many may start, since the weight store is rate-limited. */
 export class LoadLedger {
     private readonly policy: OrderPolicy;
     private loads: OrderedLoad[] = [];
-    /** Until when an engine is given no load, in monotonic milliseconds. */
+    /** Monotonic time until which each engine that failed to load is given no other load, in milliseconds. */
     private readonly excludedUntil = new Map<string, number>();
 
     private constructor(policy: OrderPolicy) {
         this.policy = policy;
     }
 
-    /** Creates an empty ledger. */
+    /** Creates an instance without loads. */
     static create(policy: OrderPolicy): LoadLedger {
         return new LoadLedger(policy);
     }
 
     /**
-     * Takes over the loads that an earlier holder decided upon. Their age is unknown, so they count as new; the orders are
-     * sent again, since they state the wanted end state.
+     * Replaces the loads with those that an earlier holder of the lease recorded. Their age is unknown, so they count
+     * as new. Their orders are sent again, which is safe because an order states the desired end state.
      */
     adopt(loads: readonly RecordedLoad[], now: number): void {
         this.loads = loads.map(load => createLoad(load, load.isSettled, now));
     }
 
-    /** Adds loads, whose orders are not sent yet. */
+    /** Adds loads whose orders have not been sent yet. */
     add(loads: readonly PlannedLoad[], now: number): void {
         for (const load of loads) {
             this.loads.push(createLoad(load, false, now));
         }
     }
 
-    /** Gets the loads to write down for a successor. */
+    /** Gets the loads to store for the next holder of the lease. */
     getRecords(): RecordedLoad[] {
         return this.loads.map(({ endpoint, range, isSettled }) => ({ endpoint, range, isSettled }));
     }
 
-    /** Gets the loads that are not over. */
+    /** Gets the loads that have neither completed nor failed. */
     getPending(): OrderedLoad[] {
         return this.loads.filter(load => !load.isSettled);
     }
@@ -71,7 +71,7 @@
         return Math.max(0, Math.min(maximumLoads - this.getPending().length, maximumLoadsPerMinute - recent.length));
     }
 
-    /** Gets the engines that are given no load: those that load already, and those that failed to not long ago. */
+    /** Gets the engines that must not be given a load: those that are loading, and those that failed recently. */
     getExcluded(now: number): Set<string> {
         const excluded = new Set(this.getPending().map(load => load.endpoint));
         for (const [endpoint, until] of this.excludedUntil) {
@@ -85,20 +85,22 @@
         return excluded;
     }
 
-    /** Gives a load up; its engine is given no other one for a while. */
+    /** Marks a load as failed and excludes its engine from further loads for the retry delay. */
     giveUp(load: OrderedLoad, now: number): void {
         load.isSettled = true;
         this.excludedUntil.set(load.endpoint, now + this.policy.retryMilliseconds);
     }
 
     /**
-     * Ends the loads that are done or hopeless, and forgets old ones.
-     * @param engines - All engines as they are now.
+     * Settles the loads that have completed or failed, and removes settled loads that no longer count toward the limit
+     * per minute.
+     * @param engines - Current state of all engines.
+     * @returns The loads that have just ended.
      */
     settle(engines: readonly ObservedEngine[], now: number): LoadEnd[] {
         const ends: LoadEnd[] = [];
         for (const load of this.getPending()) {
-            const end = this.findEnd(load, engines.find(engine => engine.endpoint === load.endpoint), now);
+            const end = this.getEnd(load, engines.find(engine => engine.endpoint === load.endpoint), now);
             if (end?.failure !== undefined) {
                 this.giveUp(load, now);
             }
@@ -111,7 +113,7 @@
         return ends;
     }
 
-    private findEnd(load: OrderedLoad, engine: ObservedEngine | undefined, now: number): LoadEnd | undefined {
+    private getEnd(load: OrderedLoad, engine: ObservedEngine | undefined, now: number): LoadEnd | undefined {
         if (engine === undefined || !engine.isHolder) {
             return { load, failure: "the engine is gone or leaving" };
         }
--- a/src/process/orders/loadPlanner.ts
+++ b/src/process/orders/loadPlanner.ts
@@ -8,19 +8,20 @@
 import type { PlannedLoad } from "./plannedLoad.ts";
 import { planOrders } from "./planOrders.ts";
 
-/** What a planner reads from. */
+/** Options of a {@link LoadPlanner}. */
 interface LoadPlannerOptions {
     dispatcher: OrderDispatcherOptions;
     ledger: LoadLedger;
     statuses: EngineStatuses;
-    /** Gets the engines as they are now. */
+    /** Gets the current state of the engines. */
     observe(): ObservedEngine[];
 }
 
-/** Plans loads from what engines report just then. */
+/** Plans loads from the current statuses of engines. */
 export class LoadPlanner {
     private readonly options: LoadPlannerOptions;
-    private unmetRanges = 0;
+    /** Number of ranges that no engine could load, as last logged or since decreased. */
+    private unplacedRanges = 0;
 
     private constructor(options: LoadPlannerOptions) {
         this.options = options;
@@ -31,14 +32,14 @@
         return new LoadPlanner(options);
     }
 
-    /** Plans as many loads as the budget allows; reads engines only where layers lack holders. */
+    /** Plans as many loads as the limits allow. Reads statuses of engines only if layers lack holders. */
     async plan(): Promise<PlannedLoad[]> {
         const { dispatcher, ledger, observe } = this.options;
         const { clock, getConfiguration, policy } = dispatcher;
         const slots = ledger.getSlots(clock.getMonotonicTime());
         const shortages = this.countShortages(observe());
         if (slots === 0 || shortages === 0) {
-            this.unmetRanges = Math.min(this.unmetRanges, shortages);
+            this.unplacedRanges = Math.min(this.unplacedRanges, shortages);
             return [];
         }
         const freePositions = await this.readFreePositions();
@@ -52,7 +53,7 @@
             slots,
             wantedHolders: policy.wantedHolders,
         });
-        this.reportUnmet(planned.length < slots ? this.countShortages(engines) - planned.length : 0);
+        this.reportUnplaced(planned.length < slots ? this.countShortages(engines) - planned.length : 0);
         return planned;
     }
 
@@ -75,11 +76,11 @@
         return await statuses.readFreePositions(names);
     }
 
-    /** Tells of ranges that no engine can load, once until they are fewer. */
-    private reportUnmet(ranges: number): void {
-        if (ranges > this.unmetRanges) {
+    /** Logs the number of ranges that no engine can load whenever it increases. */
+    private reportUnplaced(ranges: number): void {
+        if (ranges > this.unplacedRanges) {
             this.options.dispatcher.log.write(events.layersWithoutEngine, { ranges });
         }
-        this.unmetRanges = ranges;
+        this.unplacedRanges = ranges;
     }
 }
--- a/src/process/orders/loadRecord.ts
+++ b/src/process/orders/loadRecord.ts
@@ -10,32 +10,32 @@
 }));
 
 /**
- * The loads under way and those of the last minute, in the platform's service. They are written down before they are
- * ordered, so that a successor neither orders a range a second time at another engine nor exceeds the budget. It is
- * written by compare-and-swap: a holder that was overtaken fails to write.
+ * Stores the loads in progress and those of the last minute in the platform's store. Loads are stored before they are
+ * ordered, so that the next holder of the lease neither orders a range from a second engine nor exceeds the limits.
+ * Writes use compare-and-swap, so a holder that has been superseded fails to write.
  */
 export class LoadRecord {
-    /** Key of the record. */
+    /** Key of the record in the platform's store. */
     static readonly key = "foxlead/orders/loads";
     private readonly store: PlatformStore;
-    /** Undefined where it must be read. */
+    /** Last known revision; undefined if the record must be read before the next write. */
     private revision: number | undefined;
 
     private constructor(store: PlatformStore) {
         this.store = store;
     }
 
-    /** Creates the record; it is read before it is written. */
+    /** Creates an instance that must be read before it is written. */
     static create(store: PlatformStore): LoadRecord {
         return new LoadRecord(store);
     }
 
-    /** Whether a write can be tried without a read. */
+    /** Gets if the revision is known, so that a write needs no read before it. */
     isKnown(): boolean {
         return this.revision !== undefined;
     }
 
-    /** Reads the loads. What cannot be parsed counts as empty: at worst a range is loaded twice. */
+    /** Reads the loads. A record that cannot be parsed counts as empty; at worst a range is loaded twice. */
     async read(): Promise<Result<RecordedLoad[], string>> {
         const stored = await this.store.get(LoadRecord.key);
         if (stored.err) {
@@ -45,19 +45,19 @@
         return Ok(stored.val === undefined ? [] : parseLoads(stored.val.value));
     }
 
-    /** Writes the loads, if nobody else has since they were read. After an error it must be read again. */
+    /** Writes the loads unless the record has changed since it was read. After an error it must be read again. */
     async write(loads: readonly RecordedLoad[]): Promise<Result<undefined, string>> {
         const { revision } = this;
         this.revision = undefined;
         if (revision === undefined) {
-            return Err("The record of loads is not known. Read it first.");
+            return Err("The revision of the load record is unknown. Read the record before writing it.");
         }
         const outcome = await this.store.compareAndSwap(LoadRecord.key, revision, JSON.stringify(loads));
         if (outcome.err) {
             return Err(outcome.val.message);
         }
         if (!outcome.val.swapped) {
-            return Err("Another node has written the record of loads. Read it again.");
+            return Err("Another node has changed the load record. Read it again before writing it.");
         }
         this.revision = outcome.val.revision;
         return Ok(undefined);
--- a/src/process/orders/loadTargets.ts
+++ b/src/process/orders/loadTargets.ts
@@ -10,22 +10,25 @@
     configuration: Configuration;
     engines: readonly ObservedEngine[];
     coverage: LayerCoverage;
-    /** Positions that still fit in an engine's memory, by name; an engine that is absent is not chosen. */
+    /** Positions that still fit in each engine's memory, by endpoint name. An engine that is absent is not chosen. */
     freePositions: ReadonlyMap<string, number>;
 }
 
-/** An engine that could load a range, with what speaks for it. */
+/** An engine that could load a range, with its ranking criteria in descending priority. */
 interface RankedEngine {
     endpoint: string;
-    /** Whether loading more takes room from no layer of another model that only this engine holds. */
-    leavesOthersCovered: boolean;
-    /** Whether the model has other layers in the engine's region. */
+    /**
+     * Whether no layer of another model is held by this engine alone. A load leaves less memory for requests of such a
+     * layer.
+     */
+    hasNoSoleLayers: boolean;
+    /** Whether engines in the same region hold layers of the model. */
     isNear: boolean;
-    /** Positions that still fit after the load, by milliseconds of a step for one layer. */
+    /** Positions that still fit after the load, divided by the time of a decode step for one layer in milliseconds. */
     score: number;
 }
 
-/** Chooses the engine that loads a range. */
+/** Selects the engines that load ranges. */
 export class LoadTargets {
     private readonly options: LoadTargetsOptions;
     private readonly estimator = StepTimeEstimator.create();
@@ -39,14 +42,14 @@
         }
     }
 
-    /** Creates the choice for one plan. */
+    /** Creates an instance for one plan. */
     static create(options: LoadTargetsOptions): LoadTargets {
         return new LoadTargets(options);
     }
 
     /**
-     * Chooses the engine for a range; undefined where none can load it.
-     * @param shortage - The range.
+     * Gets the engine that should load a range; undefined if no engine can load it.
+     * @param shortage - Range that lacks holders.
      * @param excluded - Engines that must not be chosen.
      */
     choose(shortage: RangeShortage, excluded: ReadonlySet<string>): string | undefined {
@@ -64,26 +67,31 @@
     private rank(engine: ObservedEngine, shortage: RangeShortage, regions: Set<string>): RankedEngine | undefined {
         const { configuration, coverage, freePositions } = this.options;
         const { endpoint, layers, isSteady } = engine;
-        const free = freePositions.get(endpoint);
-        const added = countMissingLayers(layers, shortage.range);
-        if (!isSteady || free === undefined || added === 0 || configuration.endpoints[endpoint]?.kind !== "engine") {
+        const availablePositions = freePositions.get(endpoint);
+        const addedLayers = countMissingLayers(layers, shortage.range);
+        if (
+            !isSteady || availablePositions === undefined || addedLayers === 0
+            || configuration.endpoints[endpoint]?.kind !== "engine"
+        ) {
             return undefined;
         }
-        const present = layers.reduce((sum, range) => sum + range.end - range.start, 0);
-        const room = Math.max(0, free) * Math.max(1, present) / (present + added);
-        // A model that lacks a layer serves nobody, so its range goes to a full engine too; a further holder does not.
-        if (shortage.holders > 0 && room < configuration.limits.maximumTokens) {
+        const presentLayers = layers.reduce((sum, range) => sum + range.end - range.start, 0);
+        const positionsAfterLoad = Math.max(0, availablePositions) * Math.max(1, presentLayers)
+            / (presentLayers + addedLayers);
+        // Without a holder for each layer a model can't serve, so a range without one may go to an engine with little
+        // memory.
+        if (shortage.holders > 0 && positionsAfterLoad < configuration.limits.maximumTokens) {
             return undefined;
         }
         return {
             endpoint,
-            leavesOthersCovered: !coverage.isOnlyHolderBeside(engine, shortage.range.model),
+            hasNoSoleLayers: !coverage.isOnlyHolderBeside(engine, shortage.range.model),
             isNear: regions.has(this.getRegion(endpoint)),
-            score: room / this.estimator.getEstimate(endpoint).decodeMilliseconds,
+            score: positionsAfterLoad / this.estimator.getEstimate(endpoint).decodeMilliseconds,
         };
     }
 
-    /** Gets the regions in which engines hold layers of a model. */
+    /** Gets the regions of the engines that hold layers of a model. */
     private getRegions(model: string): Set<string> {
         const regions = new Set<string>();
         for (const { endpoint, layers, isHolder } of this.options.engines) {
@@ -100,10 +108,10 @@
     }
 }
 
-/** Compares two engines; the name decides last, so that the choice does not depend on the order of the engines. */
+/** Compares two engines. Ties are resolved by name, so that the result does not depend on the order of the engines. */
 function isBetter(left: RankedEngine, right: RankedEngine): boolean {
-    if (left.leavesOthersCovered !== right.leavesOthersCovered) {
-        return left.leavesOthersCovered;
+    if (left.hasNoSoleLayers !== right.hasNoSoleLayers) {
+        return left.hasNoSoleLayers;
     }
     if (left.isNear !== right.isNear) {
         return left.isNear;
--- a/src/process/orders/observedEngine.ts
+++ b/src/process/orders/observedEngine.ts
@@ -1,13 +1,13 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
-/** What the plan takes into account of an endpoint. */
+/** An engine's state as the plan uses it, with the grace period applied. */
 export interface ObservedEngine {
     endpoint: string;
     layers: readonly LayerRange[];
-    /** Whether its layers count as held: it serves, or it went unreachable only just now. */
+    /** Whether its layers count as held: it is serving, or has been unreachable for less than the grace period. */
     isHolder: boolean;
-    /** Whether orders may be sent to it: it serves. */
+    /** Whether it is serving, so that orders may be sent to it. */
     isServing: boolean;
-    /** Whether it may be given a load: it serves, and has done so for the grace time. */
+    /** Whether it has been serving for at least the grace period, so that it may be given a load. */
     isSteady: boolean;
 }
--- a/src/process/orders/orderDispatcher.ts
+++ b/src/process/orders/orderDispatcher.ts
@@ -4,25 +4,27 @@
 import type { OrderDispatcherOptions } from "./orderDispatcherOptions.ts";
 import { OrderTenure } from "./orderTenure.ts";
 
-/** The right to give orders, and the work that goes with it. */
-interface Duty {
+/** The lease and the state that exist while this node owns the duty. */
+interface OwnedDuty {
     lease: FencedLease;
     tenure: OrderTenure;
 }
 
 const leaseKey = "foxlead/leases/orders";
-const roundMilliseconds = 1_000;
-const leaseMilliseconds = 4_000;
-/** Longer than a call to an engine may take (2 s), so that no order arrives after its sender has given it up. */
-const orderMilliseconds = 3_000;
+const roundIntervalMilliseconds = 1_000;
+const leaseTimeToLiveMilliseconds = 4_000;
+/**
+ * Longer than the timeout of a call to an engine (2 s), so that no order arrives after its sender has given up on it.
+ */
+const longestOrderMilliseconds = 3_000;
 
 /**
- * Orders engines to load ranges of layers that too few engines hold. Every node runs one; the duty's owner seeks the
- * fenced lease, and only its holder plans and sends.
+ * Orders engines to load ranges of layers that too few engines hold. Every node runs a dispatcher. The node that owns
+ * the duty tries to acquire the fenced lease, and only the holder of the lease plans and sends orders.
  */
 export class OrderDispatcher {
     private readonly options: OrderDispatcherOptions;
-    private duty: Duty | undefined;
+    private duty: OwnedDuty | undefined;
     private round: Promise<void> | undefined;
     private timer: TimerHandle | undefined;
     private isStopped = false;
@@ -36,7 +38,7 @@
         return new OrderDispatcher(options);
     }
 
-    /** Starts the rounds with one at once. A round that takes longer delays the next one. */
+    /** Runs a round immediately and then periodically. Rounds do not overlap; one that takes longer delays the next. */
     start(): void {
         if (this.isStopped) {
             return;
@@ -44,10 +46,10 @@
         this.round ??= this.runRound().finally(() => {
             this.round = undefined;
         });
-        this.timer = this.options.clock.setTimer(roundMilliseconds, () => this.start());
+        this.timer = this.options.clock.setTimer(roundIntervalMilliseconds, () => this.start());
     }
 
-    /** Stops for good: waits for the orders on their way, then releases the lease. */
+    /** Stops permanently: waits for orders in flight, then releases the lease. */
     async stop(): Promise<void> {
         this.isStopped = true;
         this.timer?.cancel();
@@ -69,7 +71,7 @@
         }
     }
 
-    private beginDuty(): Duty {
+    private beginDuty(): OwnedDuty {
         const { store, clock, random, log, nodeId } = this.options;
         const lease = FencedLease.create({
             store,
@@ -78,8 +80,8 @@
             log,
             key: leaseKey,
             holder: nodeId,
-            timeToLiveMilliseconds: leaseMilliseconds,
-            longestOrderMilliseconds: orderMilliseconds,
+            timeToLiveMilliseconds: leaseTimeToLiveMilliseconds,
+            longestOrderMilliseconds,
         });
         lease.start();
         return { lease, tenure: OrderTenure.create(this.options, lease) };
--- a/src/process/orders/orderDispatcherOptions.ts
+++ b/src/process/orders/orderDispatcherOptions.ts
@@ -8,9 +8,9 @@
 import type { RandomSource } from "../randomSource.ts";
 import type { OrderPolicy } from "./orderPolicy.ts";
 
-/** Settings of an {@link OrderDispatcher}. */
+/** Options of an {@link OrderDispatcher}. */
 export interface OrderDispatcherOptions {
-    /** Name of this node, as the holder of the lease. */
+    /** Id of this node, used as the holder of the lease. */
     nodeId: string;
     store: PlatformStore;
     clock: Clock;
@@ -18,16 +18,19 @@
     log: EventLog;
     policy: OrderPolicy;
     getConfiguration(): Configuration;
-    /** Gets what this node believes of all endpoints. */
+    /** Gets the states of all endpoints as this node sees them. */
     getEndpointStates(): readonly EndpointState[];
     /**
-     * Sends an order at once: it may not wait before it does, and must give up within the longest order, 3 s. The status
-     * is 200 where the engine took the order, 409 where it found its fencing number old; undefined where there is no such
-     * engine.
+     * Sends an order synchronously, without waiting for anything first, and times out within the longest time that an
+     * order may take (3 s). The status is 200 if the engine accepted the order and 409 if its fencing number is
+     * outdated. Returns undefined if the engine does not exist.
      */
     sendOrder(endpoint: string, order: EngineOrder): Promise<Result<number, { message: string; }>> | undefined;
-    /** Reads an engine's own status; undefined where there is no such engine. */
+    /** Reads an engine's status from the engine itself; undefined if the engine does not exist. */
     getStatus(endpoint: string): Promise<Result<EngineStatus, { message: string; }>> | undefined;
-    /** Whether this node is the first owner of the duty to issue orders. A wrong answer costs time only. */
+    /**
+     * Gets if this node is the first owner of the duty to issue orders. A wrong answer only causes a delay, since the
+     * lease decides who may send orders.
+     */
     isDutyOwner(): boolean;
 }
--- a/src/process/orders/orderPolicy.ts
+++ b/src/process/orders/orderPolicy.ts
@@ -1,23 +1,23 @@
-/** Numbers that bound the orders to engines. */
+/** Limits of the orders to engines. */
 export interface OrderPolicy {
-    /** Serving engines that each layer of a used model should have. */
+    /** Number of engines that should hold each layer of a model that a service uses. */
     wantedHolders: number;
     /**
-     * An engine that went unreachable counts as a holder for this long, and one that came back is given no load for
-     * this long, in milliseconds: a short freeze moves no weights.
+     * Time for which an unreachable engine still counts as a holder, and for which a recovered engine is given no load,
+     * in milliseconds. Prevents short freezes from causing loads.
      */
     graceMilliseconds: number;
-    /** Most loads under way at the same time; the weight store is rate-limited. */
+    /** Most loads in progress at the same time. The weight store is rate-limited. */
     maximumLoads: number;
-    /** Most loads that start within any minute. */
+    /** Most loads that may start within any minute. */
     maximumLoadsPerMinute: number;
-    /** A load that has not shown in the engine's report by then is given up, in milliseconds. */
+    /** Time after which a load fails if the engine has not reported its layers, in milliseconds. */
     loadDeadlineMilliseconds: number;
-    /** An engine that failed to load is given no other load for this long, in milliseconds. */
+    /** Time for which an engine that failed to load is given no other load, in milliseconds. */
     retryMilliseconds: number;
 }
 
-/** The numbers in use. They are choices, not measurements: no weight store has been measured yet. */
+/** Default limits. */
 export const OrderPolicy: Readonly<OrderPolicy> = {
     wantedHolders: 1,
     graceMilliseconds: 3_000,
--- a/src/process/orders/orderTenure.ts
+++ b/src/process/orders/orderTenure.ts
@@ -14,7 +14,10 @@
 
 const okStatus = 200;
 
-/** The rounds of one node while it owns the duty to issue orders. Without the lease it only observes. */
+/**
+ * Runs the rounds of a node that owns the duty to issue orders. Each round compares the layers that engines hold with
+ * the desired number of holders and orders loads for the difference. Without the lease it only observes the engines.
+ */
 export class OrderTenure {
     private readonly options: OrderDispatcherOptions;
     private readonly lease: FencedLease;
@@ -23,9 +26,9 @@
     private readonly record: LoadRecord;
     private readonly statuses: EngineStatuses;
     private readonly planner: LoadPlanner;
-    /** Fencing number under which the ledger was taken over from the record. */
-    private ledgerNumber: number | undefined;
-    /** Whether the ledger holds changes that are not written down. */
+    /** Fencing number under which the loads were restored from the record. */
+    private restoredFencingNumber: number | undefined;
+    /** Whether the loads have changes that are not stored in the record yet. */
     private isRecordStale = false;
 
     private constructor(options: OrderDispatcherOptions, lease: FencedLease) {
@@ -39,19 +42,22 @@
         this.planner = LoadPlanner.create({ dispatcher: options, ledger, statuses, observe: () => this.observe() });
     }
 
-    /** Creates the work under a lease that is sought or held. */
+    /** Creates an instance. The lease must have been started. */
     static create(options: OrderDispatcherOptions, lease: FencedLease): OrderTenure {
         return new OrderTenure(options, lease);
     }
 
-    /** Observes, and while the lease is held: plans, writes down, sends and reads back. */
+    /**
+     * Observes the engines. If the lease is held, also settles loads, reads the loading engines, plans loads, stores
+     * them and sends their orders.
+     */
     async runRound(): Promise<void> {
         const engines = this.observe();
         if (!await this.readRecord()) {
             return;
         }
-        this.settle(engines);
-        await this.readBack();
+        this.settleLoads(engines);
+        await this.confirmLoads();
         this.addLoads(await this.planner.plan());
         await this.writeRecord();
         await this.sendOrders();
@@ -66,15 +72,15 @@
     }
 
     /**
-     * Reads the record under each new fencing number, to take its loads over, and after each write that failed. Returns
-     * whether the lease is held and the record known.
+     * Reads the record after a failed write, and once for each new fencing number to restore its loads. Returns if the
+     * lease is held and the revision of the record is known.
      */
     private async readRecord(): Promise<boolean> {
         const fencingNumber = this.lease.getFencingNumber();
         if (fencingNumber === undefined) {
             return false;
         }
-        if (this.ledgerNumber === fencingNumber && this.record.isKnown()) {
+        if (this.restoredFencingNumber === fencingNumber && this.record.isKnown()) {
             return true;
         }
         const loads = await this.record.read();
@@ -82,17 +88,17 @@
             this.options.log.write(events.loadRecordFailed, { reason: loads.val });
             return false;
         }
-        if (this.ledgerNumber !== fencingNumber) {
+        if (this.restoredFencingNumber !== fencingNumber) {
             this.ledger.adopt(loads.val, this.now());
-            this.ledgerNumber = fencingNumber;
+            this.restoredFencingNumber = fencingNumber;
             this.isRecordStale = false;
         }
         return true;
     }
 
-    private settle(engines: readonly ObservedEngine[]): void {
+    private settleLoads(engines: readonly ObservedEngine[]): void {
         for (const { load, failure } of this.ledger.settle(engines, this.now())) {
-            const fields = describe(load);
+            const fields = getLogFields(load);
             this.isRecordStale = true;
             if (failure === undefined) {
                 this.options.log.write(events.layersLoaded, fields);
@@ -103,8 +109,11 @@
         }
     }
 
-    /** Reads the engines that load. One that has not seen the fencing number has lost the order, which is sent again. */
-    private async readBack(): Promise<void> {
+    /**
+     * Reads the statuses of loading engines. If an engine has not seen the fencing number, the order was lost and is
+     * marked to be sent again.
+     */
+    private async confirmLoads(): Promise<void> {
         const loads = this.ledger.getPending().filter(load => load.isSent);
         const statuses = await this.statuses.read(loads.map(load => load.endpoint));
         const fencingNumber = this.lease.getFencingNumber();
@@ -125,9 +134,9 @@
         }
     }
 
-    /** Writes the loads down. Until they surely stand there, none is sent. */
+    /** Stores the loads if they have changed. No order is sent until the write is confirmed. */
     private async writeRecord(): Promise<void> {
-        if (!this.isRecordStale || this.lease.getFencingNumber() !== this.ledgerNumber) {
+        if (!this.isRecordStale || this.lease.getFencingNumber() !== this.restoredFencingNumber) {
             return;
         }
         const written = await this.record.write(this.ledger.getRecords());
@@ -137,9 +146,11 @@
         }
     }
 
-    /** Sends what is written down under the present fencing number and not sent yet, to those that serve. */
+    /**
+     * Sends the orders of stored loads that have not been sent yet under the current fencing number to serving engines.
+     */
     private async sendOrders(): Promise<void> {
-        if (this.isRecordStale || this.lease.getFencingNumber() !== this.ledgerNumber) {
+        if (this.isRecordStale || this.lease.getFencingNumber() !== this.restoredFencingNumber) {
             return;
         }
         const serving = new Set<string>();
@@ -152,13 +163,13 @@
         await Promise.all(loads.map(load => this.sendOrder(load)));
     }
 
-    /** Sends one order in the same turn in which the lease is checked. */
+    /** Sends an order in the same turn of the event loop in which the lease is checked. */
     private async sendOrder(load: PendingLoad): Promise<void> {
         const { log, sendOrder } = this.options;
         const { endpoint, range } = load;
         const sending = this.lease.withFencing(fencingNumber => {
             const answer = sendOrder(endpoint, { fencingNumber, kind: "load", range });
-            log.write(events.loadOrdered, { ...describe(load), fencingNumber });
+            log.write(events.loadOrdered, { ...getLogFields(load), fencingNumber });
             return answer;
         });
         const answer = sending.ok ? await sending.val : undefined;
@@ -169,11 +180,11 @@
         if (!load.isSent) {
             this.ledger.giveUp(load, this.now());
             this.isRecordStale = true;
-            log.write(events.loadRefused, { ...describe(load), status: answer.val });
+            log.write(events.loadRefused, { ...getLogFields(load), status: answer.val });
         }
     }
 }
 
-function describe({ endpoint, range }: PlannedLoad): Record<string, string> {
+function getLogFields({ endpoint, range }: PlannedLoad): Record<string, string> {
     return { endpoint, layers: `${range.model} ${range.start}-${range.end}` };
 }
--- a/src/process/orders/planOrders.ts
+++ b/src/process/orders/planOrders.ts
@@ -5,27 +5,26 @@
 import type { ObservedEngine } from "./observedEngine.ts";
 import type { PlannedLoad } from "./plannedLoad.ts";
 
-/** What a plan is made from. */
+/** Input of {@link planOrders}. */
 interface PlanOptions {
     configuration: Configuration;
     engines: readonly ObservedEngine[];
-    /** Positions that still fit in an engine's memory, by name; an engine that is absent is not chosen. */
+    /** Positions that still fit in each engine's memory, by endpoint name. An engine that is absent is not chosen. */
     freePositions: ReadonlyMap<string, number>;
-    /** Loads under way. Their ranges count as held, and their engines get no second load. */
+    /** Loads in progress. Their ranges count as held, and their engines are given no second load. */
     loads: readonly PlannedLoad[];
     /** Engines that must not be chosen. */
     excluded: ReadonlySet<string>;
-    /** Loads that may be started now. */
+    /** Number of loads that may start now. */
     slots: number;
-    /** Engines that each layer should have. */
+    /** Number of engines that should hold each layer. */
     wantedHolders: number;
 }
 
 /**
- * Plans which engines are to load which ranges: those without any holder first, one load for an engine. A plan only adds:
- * there is no order that takes layers away, so no last holder can lose its own, and an order that comes late or twice
- * does no harm.
- * @param options - What is known now.
+ * Plans which engines load which ranges, starting with ranges that no engine holds, with at most one load per engine. A
+ * plan never removes layers, so a layer can't lose its last holder, and orders that arrive late or twice are harmless.
+ * @param options - Current state of the engines and limits of the plan.
  */
 export function planOrders(options: PlanOptions): PlannedLoad[] {
     const { configuration, engines, freePositions, loads, slots, wantedHolders } = options;
--- a/src/process/orders/plannedLoad.ts
+++ b/src/process/orders/plannedLoad.ts
@@ -1,6 +1,6 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
-/** One engine that is to load one range of layers. */
+/** An engine and the range of layers that it should load. */
 export interface PlannedLoad {
     endpoint: string;
     range: LayerRange;
--- a/src/process/orders/rangeShortage.ts
+++ b/src/process/orders/rangeShortage.ts
@@ -1,8 +1,8 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
-/** A range of layers that fewer engines hold than are wanted. */
+/** A range of layers that too few engines hold. */
 export interface RangeShortage {
     range: LayerRange;
-    /** Engines that hold each layer of the range, or are loading it. */
+    /** Number of engines that hold or are loading each layer of the range. */
     holders: number;
 }
--- a/src/process/orders/recordedLoad.ts
+++ b/src/process/orders/recordedLoad.ts
@@ -1,7 +1,7 @@
 import type { PlannedLoad } from "./plannedLoad.ts";
 
-/** A load as it is written down for a successor. */
+/** A load as it is stored for the next holder of the lease. */
 export interface RecordedLoad extends PlannedLoad {
-    /** Whether the load is over; it still counts for the budget for a minute. */
+    /** Whether the load has completed or failed. It still counts toward the limit per minute. */
     isSettled: boolean;
 }
--- a/tests/process/orders/createTestConfiguration.ts
+++ b/tests/process/orders/createTestConfiguration.ts
@@ -2,8 +2,8 @@
 import { parseConfiguration } from "../../../src/version/parseConfiguration.ts";
 
 /**
- * Creates a configuration with a service for each of the models `large` (12 layers) and `small` (4 layers).
- * @param endpoints - Layers of each engine, by name.
+ * Creates a configuration with two models, `large` (12 layers) and `small` (4 layers), and a service for each of them.
+ * @param endpoints - Layers that each engine holds, by endpoint name.
  */
 export function createTestConfiguration(endpoints: Record<string, LayerRange[]>): Configuration {
     const engines = Object.entries(endpoints).map(([name, layers], index) => [name, {
--- a/tests/process/orders/orderBench.ts
+++ b/tests/process/orders/orderBench.ts
@@ -25,7 +25,7 @@
     nodeId: string;
     endpoint: string;
     order: EngineOrder;
-    /** Undefined while the order is on its way. */
+    /** Undefined while the order is in flight, and if it was lost. */
     status?: number;
 }
 
@@ -37,7 +37,7 @@
 
 const weightLoadMilliseconds = 5_000;
 
-/** Dispatchers before engines that obey orders, under fake time. */
+/** Runs dispatchers against engines that carry out orders, with a fake clock. */
 export class OrderBench {
     readonly clock = FakeClock.create();
     readonly store = MemoryStore.create();
@@ -46,15 +46,15 @@
     readonly sent: SentOrder[] = [];
     /** The node that owns the duty. */
     owner = "a";
-    /** Runs before an engine's status is read for a node. */
+    /** Runs before an engine returns its status to a node. */
     beforeStatus: (nodeId: string) => Promise<void> | void = () => undefined;
-    /** Runs when a node's loads have been written down and the answer is on its way. */
+    /** Runs after a node has written the load record and before it gets the answer. */
     afterWrite: () => Promise<void> | void = () => undefined;
-    /** Runs while an order of a node is on its way. */
+    /** Runs while an order of a node is in flight. */
     beforeDelivery: (nodeId: string) => Promise<void> | void = () => undefined;
     /** Engines with little free memory. */
     readonly full = new Set<string>();
-    /** Whether orders are lost on the way. */
+    /** Whether orders are lost before they reach the engine. */
     losesOrders = false;
     private readonly options: OrderBenchOptions;
     private readonly random = createSeededRandom(7);
@@ -69,7 +69,7 @@
         };
         for (const [name, layers] of Object.entries(options.layers)) {
             const held = HeldLayers.create(layers);
-            this.engines.set(name, { held, orders: this.createOrders(held), state: "serving" });
+            this.engines.set(name, { held, orders: this.createWeightOrders(held), state: "serving" });
         }
     }
 
@@ -99,19 +99,19 @@
         this.getEngine(endpoint).state = state;
     }
 
-    /** Restarts an engine: it forgets the orders that it has not carried out. */
+    /** Restarts an engine. Orders that it has not completed are lost. */
     restart(endpoint: string): void {
         const engine = this.getEngine(endpoint);
         engine.orders.close();
-        engine.orders = this.createOrders(engine.held);
+        engine.orders = this.createWeightOrders(engine.held);
     }
 
-    /** Whether an engine that serves holds a range. */
+    /** Gets if any serving engine holds a range. */
     isServed(range: LayerRange): boolean {
         return [...this.engines.values()].some(({ held, state }) => state === "serving" && held.hasRange(range));
     }
 
-    private createOrders(heldLayers: HeldLayers): WeightOrders {
+    private createWeightOrders(heldLayers: HeldLayers): WeightOrders {
         const { clock, options: { checksFencing = true } } = this;
         const modelLayers = { large: 12, small: 4 };
         return WeightOrders.create({ clock, heldLayers, modelLayers, checksFencing, weightLoadMilliseconds });
@@ -128,8 +128,8 @@
         if (this.losesOrders) {
             return Err({ message: "The order was lost." });
         }
-        const obeyed = this.getEngine(endpoint).orders.obey(order);
-        sent.status = obeyed.ok ? 200 : obeyed.val.status;
+        const result = this.getEngine(endpoint).orders.obey(order);
+        sent.status = result.ok ? 200 : result.val.status;
         return Ok(sent.status);
     }
 
--- a/tests/process/orders/orderDispatcher.test.ts
+++ b/tests/process/orders/orderDispatcher.test.ts
@@ -8,207 +8,216 @@
 const small = { model: "small", start: 0, end: 4 };
 const layers = { a: [large(0, 4)], b: [large(4, 8)], c: [large(8, 12)], d: [small], e: [small] };
 const lost = large(4, 8);
-/** By then a successor holds the lease of a holder that stopped renewing: 4 s, 3 s and some for drift and retries. */
-const takeoverTime = 9_000;
+/**
+ * Time after which another node holds the lease if the holder stops renewing it, in milliseconds: the lease's time to
+ * live (4 s), the longest order (3 s) and a margin for clock drift and retries.
+ */
+const takeoverMilliseconds = 9_000;
 
 type PausePoint = "beforeStatus" | "afterWrite" | "beforeDelivery";
 
-/** A promise that a test settles. */
+/** Creates a promise that a test resolves. */
 function createGate() {
     let resolve = () => undefined as void;
     const promise = new Promise<void>(settle => resolve = settle);
     return { promise, resolve };
 }
 
-/** A fleet whose node `a` holds the lease and whose engine `b` has just vanished. */
+/** Creates a fleet in which node `a` holds the lease and engine `b` has just become unreachable. */
 async function createLoss(options: Partial<Parameters<typeof OrderBench.create>[0]> = {}) {
-    const bench = OrderBench.create({ layers, ...options });
-    const pausable = PausableClock.create(bench.clock);
-    const [first, second] = [bench.createNode("a", pausable), bench.createNode("b")];
+    const harness = OrderBench.create({ layers, ...options });
+    const pausable = PausableClock.create(harness.clock);
+    const [first, second] = [harness.createNode("a", pausable), harness.createNode("b")];
     first.start();
     second.start();
-    await bench.clock.advance(2_000);
-    bench.setState("b", "unreachable");
-    return { bench, pausable, first, second };
+    await harness.clock.advance(2_000);
+    harness.setState("b", "unreachable");
+    return { harness, pausable, first, second };
 }
 
-/** The same after node `a` was paused in the middle of a round, and node `b` has taken over and had the range loaded. */
+/**
+ * Creates the same fleet after node `a` was paused during a round, and node `b` took over and had the lost range
+ * loaded.
+ */
 async function createTakeover(checksFencing: boolean, pausePoint: PausePoint) {
-    const { bench, pausable } = await createLoss({ checksFencing });
+    const { harness, pausable } = await createLoss({ checksFencing });
     const paused = createGate();
-    bench[pausePoint] = (nodeId = bench.owner) => {
+    harness[pausePoint] = (nodeId = harness.owner) => {
         if (nodeId !== "a") {
             return;
         }
         pausable.pause();
         return paused.promise;
     };
-    await bench.clock.advance(5_000);
-    bench.owner = "b";
-    await bench.clock.advance(takeoverTime + 7_000);
-    assert.equal(bench.isServed(lost), true);
+    await harness.clock.advance(5_000);
+    harness.owner = "b";
+    await harness.clock.advance(takeoverMilliseconds + 7_000);
+    assert.equal(harness.isServed(lost), true);
     const resume = async () => {
-        bench[pausePoint] = () => undefined;
+        harness[pausePoint] = () => undefined;
         paused.resolve();
         pausable.resume();
-        await bench.clock.advance(20_000);
+        await harness.clock.advance(20_000);
     };
-    return { bench, resume };
+    return { harness, resume };
 }
 
 describe("OrderDispatcher", () => {
-    it("has a lost range loaded once, after the grace time", async () => {
-        const { bench } = await createLoss();
-        await bench.clock.advance(2_500);
-        assert.equal(bench.sent.length, 0);
-        await bench.clock.advance(60_000);
-        assert.equal(bench.isServed(lost), true);
-        assert.deepEqual(bench.sent.map(({ nodeId, order, status }) => [nodeId, order.range, status]), [[
+    it("orders a lost range to be loaded once, after the grace period", async () => {
+        const { harness } = await createLoss();
+        await harness.clock.advance(2_500);
+        assert.equal(harness.sent.length, 0);
+        await harness.clock.advance(60_000);
+        assert.equal(harness.isServed(lost), true);
+        assert.deepEqual(harness.sent.map(({ nodeId, order, status }) => [nodeId, order.range, status]), [[
             "a",
             lost,
             200,
         ]]);
-        assert.ok(bench.log.numbers.includes(events.layersLoaded.number));
+        assert.ok(harness.log.numbers.includes(events.layersLoaded.number));
     });
 
-    it("moves nothing on freezes shorter than the grace time, however many", async () => {
-        const { bench } = await createLoss();
+    it("orders no loads for repeated freezes that are shorter than the grace period", async () => {
+        const { harness } = await createLoss();
         for (let freeze = 0; freeze < 20; freeze += 1) {
-            await bench.clock.advance(2_500);
-            bench.setState("b", "serving");
-            await bench.clock.advance(500);
-            bench.setState("b", "unreachable");
+            await harness.clock.advance(2_500);
+            harness.setState("b", "serving");
+            await harness.clock.advance(500);
+            harness.setState("b", "unreachable");
         }
-        assert.equal(bench.sent.length, 0);
+        assert.equal(harness.sent.length, 0);
     });
 
-    it("sends again what was lost on the way, and chooses another engine at the load's deadline", async () => {
-        const { bench } = await createLoss({ policy: { loadDeadlineMilliseconds: 10_000 } });
-        bench.losesOrders = true;
-        await bench.clock.advance(6_000);
-        bench.losesOrders = false;
-        await bench.clock.advance(12_000);
-        assert.equal(new Set(bench.sent.map(sent => sent.endpoint)).size, 1);
-        assert.equal(bench.isServed(lost), true);
-        bench.losesOrders = true;
-        bench.setState("c", "unreachable");
-        await bench.clock.advance(20_000);
-        const targets = bench.sent.filter(sent => sent.order.range.start === 8).map(sent => sent.endpoint);
+    it("resends a lost order, and chooses another engine after the load's deadline", async () => {
+        const { harness } = await createLoss({ policy: { loadDeadlineMilliseconds: 10_000 } });
+        harness.losesOrders = true;
+        await harness.clock.advance(6_000);
+        harness.losesOrders = false;
+        await harness.clock.advance(12_000);
+        assert.equal(new Set(harness.sent.map(sent => sent.endpoint)).size, 1);
+        assert.equal(harness.isServed(lost), true);
+        harness.losesOrders = true;
+        harness.setState("c", "unreachable");
+        await harness.clock.advance(20_000);
+        const targets = harness.sent.filter(sent => sent.order.range.start === 8).map(sent => sent.endpoint);
         assert.equal(new Set(targets).size, 2);
     });
 
-    it("sends nothing to an engine that has gone unreachable or leaves", async () => {
+    it("sends no orders to an engine that is unreachable or leaving", async () => {
         for (const state of ["unreachable", "leaving"] as const) {
-            const { bench } = await createLoss();
-            bench.losesOrders = true;
-            await bench.clock.advance(4_500);
-            const [{ endpoint } = { endpoint: "" }] = bench.sent;
-            bench.setState(endpoint, state);
-            const before = bench.sent.length;
-            await bench.clock.advance(2_000);
-            assert.ok(bench.sent.slice(before).every(sent => sent.endpoint !== endpoint));
+            const { harness } = await createLoss();
+            harness.losesOrders = true;
+            await harness.clock.advance(4_500);
+            const [{ endpoint } = { endpoint: "" }] = harness.sent;
+            harness.setState(endpoint, state);
+            const before = harness.sent.length;
+            await harness.clock.advance(2_000);
+            assert.ok(harness.sent.slice(before).every(sent => sent.endpoint !== endpoint));
         }
     });
 
-    it("sends an order again to an engine that has restarted during the load", async () => {
-        const { bench } = await createLoss();
-        await bench.clock.advance(4_500);
-        const [{ endpoint } = { endpoint: "" }] = bench.sent;
-        bench.restart(endpoint);
-        await bench.clock.advance(8_000);
-        assert.deepEqual(bench.sent.map(sent => sent.endpoint), [endpoint, endpoint]);
-        assert.equal(bench.isServed(lost), true);
+    it("resends an order to an engine that restarted during the load", async () => {
+        const { harness } = await createLoss();
+        await harness.clock.advance(4_500);
+        const [{ endpoint } = { endpoint: "" }] = harness.sent;
+        harness.restart(endpoint);
+        await harness.clock.advance(8_000);
+        assert.deepEqual(harness.sent.map(sent => sent.endpoint), [endpoint, endpoint]);
+        assert.equal(harness.isServed(lost), true);
     });
 
-    it("keeps to the loads at once and a minute, over a change of the holder too", async () => {
-        const { bench, first } = await createLoss({ policy: { maximumLoads: 1, maximumLoadsPerMinute: 2 } });
-        bench.setState("a", "unreachable");
-        bench.setState("c", "unreachable");
-        await bench.clock.advance(4_500);
-        assert.equal(bench.sent.length, 1);
-        await bench.clock.advance(15_500);
-        assert.equal(bench.sent.length, 2);
-        bench.owner = "b";
+    it("limits concurrent loads and loads per minute, also across a change of the lease holder", async () => {
+        const { harness, first } = await createLoss({ policy: { maximumLoads: 1, maximumLoadsPerMinute: 2 } });
+        harness.setState("a", "unreachable");
+        harness.setState("c", "unreachable");
+        await harness.clock.advance(4_500);
+        assert.equal(harness.sent.length, 1);
+        await harness.clock.advance(15_500);
+        assert.equal(harness.sent.length, 2);
+        harness.owner = "b";
         await first.stop();
-        await bench.clock.advance(40_000);
-        assert.equal(bench.sent.length, 2);
-        await bench.clock.advance(70_000);
-        assert.deepEqual(bench.sent.map(sent => sent.nodeId), ["a", "a", "b"]);
+        await harness.clock.advance(40_000);
+        assert.equal(harness.sent.length, 2);
+        await harness.clock.advance(70_000);
+        assert.deepEqual(harness.sent.map(sent => sent.nodeId), ["a", "a", "b"]);
     });
 
-    it("has a successor finish the loads of its predecessor, at the same engines", async () => {
-        const { bench, pausable } = await createLoss();
-        bench.losesOrders = true;
-        await bench.clock.advance(4_500);
+    it("completes the loads of the previous lease holder on the same engines", async () => {
+        const { harness, pausable } = await createLoss();
+        harness.losesOrders = true;
+        await harness.clock.advance(4_500);
         pausable.pause();
-        bench.full.add(bench.sent[0]?.endpoint ?? "");
-        bench.losesOrders = false;
-        bench.owner = "b";
-        await bench.clock.advance(takeoverTime + 7_000);
-        assert.equal(bench.isServed(lost), true);
-        assert.equal(new Set(bench.sent.map(sent => sent.endpoint)).size, 1);
-        assert.equal(bench.sent.at(-1)?.nodeId, "b");
+        harness.full.add(harness.sent[0]?.endpoint ?? "");
+        harness.losesOrders = false;
+        harness.owner = "b";
+        await harness.clock.advance(takeoverMilliseconds + 7_000);
+        assert.equal(harness.isServed(lost), true);
+        assert.equal(new Set(harness.sent.map(sent => sent.endpoint)).size, 1);
+        assert.equal(harness.sent.at(-1)?.nodeId, "b");
     });
 
-    it("sends nothing once its lease has run out while the store is down", async () => {
-        const { bench } = await createLoss();
-        bench.losesOrders = true;
-        await bench.clock.advance(4_500);
-        bench.store.setDown(true);
-        await bench.clock.advance(4_000);
-        const sent = bench.sent.length;
-        bench.losesOrders = false;
-        await bench.clock.advance(30_000);
-        assert.equal(bench.sent.length, sent);
-        bench.store.setDown(false);
-        await bench.clock.advance(takeoverTime + 7_000);
-        assert.equal(bench.isServed(lost), true);
+    it("sends no orders after its lease has expired while the store is down", async () => {
+        const { harness } = await createLoss();
+        harness.losesOrders = true;
+        await harness.clock.advance(4_500);
+        harness.store.setDown(true);
+        await harness.clock.advance(4_000);
+        const sent = harness.sent.length;
+        harness.losesOrders = false;
+        await harness.clock.advance(30_000);
+        assert.equal(harness.sent.length, sent);
+        harness.store.setDown(false);
+        await harness.clock.advance(takeoverMilliseconds + 7_000);
+        assert.equal(harness.isServed(lost), true);
     });
 
     for (const checksFencing of [true, false]) {
         const kind = checksFencing ? "checks" : "ignores";
 
         for (const pausePoint of ["beforeStatus", "afterWrite"] as const) {
-            it(`sends nothing after a pause ${pausePoint} and a takeover, where the engine ${kind} the number`, async () => {
-                const { bench, resume } = await createTakeover(checksFencing, pausePoint);
+            it(`sends nothing after a pause at ${pausePoint} and a takeover if an engine ${kind} the fencing number`, async () => {
+                const { harness, resume } = await createTakeover(checksFencing, pausePoint);
                 await resume();
-                assert.deepEqual(bench.sent.map(sent => sent.nodeId), ["b"]);
+                assert.deepEqual(harness.sent.map(sent => sent.nodeId), ["b"]);
             });
         }
 
-        it(`leaves the wanted end state where an order comes too late, at an engine that ${kind} the number`, async () => {
-            const { bench, resume } = await createTakeover(checksFencing, "beforeDelivery");
+        it(`reaches the desired state despite a late order to an engine that ${kind} the fencing number`, async () => {
+            const { harness, resume } = await createTakeover(checksFencing, "beforeDelivery");
             await resume();
-            const orders = bench.sent.map(({ nodeId, status }) => [nodeId, status]);
+            const orders = harness.sent.map(({ nodeId, status }) => [nodeId, status]);
             assert.deepEqual(orders, [["a", checksFencing ? 409 : 200], ["b", 200]]);
-            assert.equal(new Set(bench.sent.map(sent => sent.endpoint)).size, 1);
-            assert.equal(bench.isServed(lost), true);
+            assert.equal(new Set(harness.sent.map(sent => sent.endpoint)).size, 1);
+            assert.equal(harness.isServed(lost), true);
         });
     }
 
-    it("does not go on with an old plan when it holds the lease again under a higher number", async () => {
-        const { bench, pausable } = await createLoss();
+    it("discards an old plan after it reacquires the lease under a higher fencing number", async () => {
+        const { harness, pausable } = await createLoss();
         const held = createGate();
-        bench.beforeStatus = nodeId => nodeId === "a" ? held.promise : undefined;
-        await bench.clock.advance(4_500);
+        harness.beforeStatus = nodeId => nodeId === "a" ? held.promise : undefined;
+        await harness.clock.advance(4_500);
         pausable.pause();
-        await bench.clock.advance(5_000);
+        await harness.clock.advance(5_000);
         pausable.resume();
-        await bench.clock.advance(takeoverTime);
-        const before = bench.sent.length;
+        await harness.clock.advance(takeoverMilliseconds);
+        const before = harness.sent.length;
         held.resolve();
-        await bench.clock.advance(0);
-        assert.equal(bench.sent.length, before);
-        await bench.clock.advance(7_000);
-        assert.equal(bench.isServed(lost), true);
+        await harness.clock.advance(0);
+        assert.equal(harness.sent.length, before);
+        await harness.clock.advance(7_000);
+        assert.equal(harness.isServed(lost), true);
     });
 
-    it("releases the lease when it stops, so that a successor need not wait for its end", async () => {
-        const { bench, first } = await createLoss();
-        bench.owner = "b";
+    it("releases the lease when it stops, so that the next holder need not wait for it to expire", async () => {
+        const { harness, first } = await createLoss();
+        harness.owner = "b";
         await first.stop();
-        await bench.clock.advance(4_500);
-        const record = JSON.parse(bench.store.peek("foxlead/leases/orders")?.value ?? "{}") as Record<string, unknown>;
+        await harness.clock.advance(4_500);
+        const record = JSON.parse(harness.store.peek("foxlead/leases/orders")?.value ?? "{}") as Record<
+            string,
+            unknown
+        >;
         assert.deepEqual([record.holder, record.fencingNumber], ["b", 2]);
     });
 });
--- a/tests/process/orders/planOrders.test.ts
+++ b/tests/process/orders/planOrders.test.ts
@@ -13,70 +13,72 @@
 const small = { model: "small", start: 0, end: 4 };
 const layers = { a: [large(0, 4)], b: [large(4, 8)], c: [large(8, 12)], d: [small], e: [small], f: [] };
 
-function createEngines(change: Record<string, Partial<ObservedEngine>> = {}): ObservedEngine[] {
+function createEngines(changes: Record<string, Partial<ObservedEngine>> = {}): ObservedEngine[] {
     return Object.entries(layers).map(([endpoint, held]) => ({
         endpoint,
         layers: held,
         isHolder: true,
         isServing: true,
         isSteady: true,
-        ...change[endpoint],
+        ...changes[endpoint],
     }));
 }
 
-function plan(change: Partial<PlanOptions>, free: Record<string, number> = { a: 8_000, d: 9_000, e: 8_000 }) {
+function plan(changes: Partial<PlanOptions>, free: Record<string, number> = { a: 8_000, d: 9_000, e: 8_000 }) {
     const freePositions = new Map(Object.entries(free));
     const configuration = createTestConfiguration(layers);
     const common = { configuration, freePositions, loads: [], excluded: new Set<string>(), slots: 9, wantedHolders: 1 };
-    return planOrders({ ...common, engines: createEngines(), ...change });
+    return planOrders({ ...common, engines: createEngines(), ...changes });
 }
 
-const gone = { isHolder: false, isServing: false, isSteady: false };
+const goneEngine = { isHolder: false, isServing: false, isSteady: false };
 
 describe("planOrders", () => {
     function doTest(name: string, options: Parameters<typeof plan>, expected: ReturnType<typeof planOrders>): void {
         it(name, () => assert.deepEqual(plan(...options), expected));
     }
 
-    doTest("plans nothing while every layer has its holder", [{}], []);
-    doTest("gives a lost range to the engine with most room", [{ engines: createEngines({ b: gone }) }], [
+    doTest("plans no loads while every layer has a holder", [{}], []);
+    doTest("assigns a lost range to the engine with the most free memory", [{
+        engines: createEngines({ b: goneEngine }),
+    }], [
         { endpoint: "d", range: large(4, 8) },
     ]);
-    doTest("goes first to engines that no other model rests on alone", [{
-        engines: createEngines({ b: gone, e: gone }),
+    doTest("prefers engines that are not the only holder of a layer of another model", [{
+        engines: createEngines({ b: goneEngine, e: goneEngine }),
     }, {
         d: 90_000,
         a: 10,
     }], [{ endpoint: "a", range: large(4, 8) }]);
-    doTest("keeps to the budget, and gives an engine one load", [{
-        engines: createEngines({ a: gone, b: gone, c: gone }),
+    doTest("plans no more loads than allowed and one load per engine", [{
+        engines: createEngines({ a: goneEngine, b: goneEngine, c: goneEngine }),
         slots: 2,
     }], [{ endpoint: "d", range: large(0, 4) }, { endpoint: "e", range: large(4, 8) }]);
-    doTest("counts a load under way as a holder", [{
-        engines: createEngines({ b: gone }),
+    doTest("counts a load in progress as a holder", [{
+        engines: createEngines({ b: goneEngine }),
         loads: [{ endpoint: "f", range: large(4, 8) }],
     }], []);
-    doTest("puts ranges without a holder before further holders, which need room", [{
-        engines: createEngines({ c: gone }),
+    doTest("prefers ranges without a holder, and adds more holders only with enough free memory", [{
+        engines: createEngines({ c: goneEngine }),
         wantedHolders: 2,
     }, { d: 90_000, e: 10, f: 20_000 }], [
         { endpoint: "d", range: large(8, 12) },
         { endpoint: "f", range: large(0, 4) },
     ]);
 
-    it("only adds, and only at serving, steady engines that were read, never beyond the budget or twice", () => {
+    it("only adds layers, on steady engines whose status was read, within the limit and once per engine", () => {
         const names = Object.keys(layers);
         const state = fc.constantFrom("serving" as const, "leaving" as const, "unreachable" as const);
         const states = fc.tuple(...names.map(() => fc.tuple(state, state)));
         const free = fc.dictionary(fc.constantFrom(...names), fc.nat(20_000));
         const property = fc.property(states, free, fc.nat(3), fc.integer({ min: 1, max: 3 }), (...input) => {
-            const [known, freePositions, slots, wantedHolders] = input;
+            const [observedStates, freePositions, slots, wantedHolders] = input;
             const grace = EngineGrace.create(1_000);
             const observe = (index: 0 | 1) =>
                 Object.entries(layers).map(([endpoint, held], engine) => ({
                     endpoint,
                     layers: held,
-                    state: known[engine]?.[index] ?? "unreachable",
+                    state: observedStates[engine]?.[index] ?? "unreachable",
                 }));
             grace.observe(observe(0), 0);
             const engines = grace.observe(observe(1), 1_500);
@@ -84,7 +86,7 @@
             assert.ok(planned.length <= slots);
             assert.equal(new Set(planned.map(load => load.endpoint)).size, planned.length);
             for (const { endpoint, range, ...others } of planned) {
-                assert.deepEqual(known[names.indexOf(endpoint)], ["serving", "serving"]);
+                assert.deepEqual(observedStates[names.indexOf(endpoint)], ["serving", "serving"]);
                 assert.ok(freePositions[endpoint] !== undefined && range.end > range.start);
                 assert.ok(countMissingLayers(layers[endpoint as keyof typeof layers], range) > 0);
                 assert.deepEqual(others, {});
@@ -94,8 +96,8 @@
     });
 });
 
-describe("EngineGrace", () => {
-    it("waits before an engine counts as gone or back, without its own pauses, and not where it is leaving", () => {
+describe("EngineGracePeriod", () => {
+    it("applies the grace period to lost and recovered engines, but not to leaving ones or its own pauses", () => {
         const grace = EngineGrace.create(3_000);
         const observe = (state: "serving" | "leaving" | "unreachable", now: number) => {
             const [engine] = grace.observe([{ endpoint: "a", layers: [], state }], now);
