--- a/src/process/placement/assignLayers.ts
+++ b/src/process/placement/assignLayers.ts
@@ -6,67 +6,71 @@
 import type { LayerColumn } from "./layerColumn.ts";
 import type { PlacementEndpoint } from "./placementEndpoint.ts";
 
-/** The move of an endpoint from one column to another. */
+/** A move of an endpoint from one column to another. */
 interface LayerMove extends LayerAssignment {
-    /** Whether nobody holds the column, so that no chain exists without the move. */
+    /** Whether no endpoint holds the target column, so that no complete chain exists without the move. */
     isUrgent: boolean;
 }
 
-/** What should be ordered. */
+/** Orders that should be given. */
 interface LayerDecisions {
-    /** For endpoints that hold no column. */
+    /** Assignments for endpoints that hold neither a column nor a part of one. */
     assignments: LayerAssignment[];
+    /** Move of an endpoint that already holds a column; undefined if none is needed. */
     move: LayerMove | undefined;
 }
 
-/** How well a column is covered. */
-interface ColumnCover {
+/** The endpoints that hold a column or parts of it. */
+interface ColumnCoverage {
     column: LayerColumn;
     replicas: PlacementEndpoint[];
-    /** Memory for requests of all replicas, in tokens. */
+    /** Total memory of the replicas for requests, in tokens. */
     tokens: number;
-    /** Parts of the column for endpoints that can't hold the whole of it, by the number of parts. */
-    parts: Map<number, PartCover[]>;
+    /** Parts of the column for endpoints that can't hold all of it, by the number of parts that it is split into. */
+    parts: Map<number, PartCoverage[]>;
 }
 
-/** A part of a column, and who holds just that. */
-interface PartCover {
+/** A part of a column, and the endpoints that hold exactly this part. */
+interface PartCoverage {
     layers: HeldLayers;
     replicas: PlacementEndpoint[];
 }
 
-/** What an empty endpoint could hold: a whole column or a part of one. */
+/** A column, or a part of one, that an empty endpoint could hold. */
 interface LayerChoice {
     layers: HeldLayers;
     replicas: PlacementEndpoint[];
-    /** The lower, the more it is needed; compared from the first number on. */
+    /** Ranks, compared in order as long as they are equal. Lower ranks are preferred. */
     ranks: number[];
 }
 
-/** A chain of more stages than this in place of one is slower than to wait for the whole column's return. */
-const mostParts = 3;
-/** A move must leave the weaker of the two columns with so many times the memory that the weak one had before. */
-const leastGain = 1.2;
+/**
+ * Most parts that a column is split into. A chain with more stages in place of one is slower than waiting for a replica
+ * to recover.
+ */
+const maximumPartsPerColumn = 3;
+/** A move must leave both columns with at least this many times the memory that the weakest column had before. */
+const minimumMemoryGain = 1.2;
 
 /**
- * Decides which empty endpoint takes which column, and whether one should move to a column that is short of replicas.
- * Endpoints that hold a column keep it otherwise, since a load takes seconds.
- * @param model - Figures of the model.
+ * Assigns columns to empty endpoints, and decides whether an endpoint should move to a column that has too few
+ * replicas. Other endpoints keep their column, since a load takes seconds.
+ * @param model - Performance figures of the model.
  * @param columns - Columns of the plan.
- * @param endpoints - Endpoints that stay, with what they hold.
+ * @param endpoints - Endpoints that are not draining, with the layers that they hold.
  */
 export function assignLayers(
     model: EngineModel,
     columns: readonly LayerColumn[],
     endpoints: readonly PlacementEndpoint[],
 ): LayerDecisions {
-    const covers = columns.map(column => createCover(column));
+    const coverages = columns.map(column => createCoverage(column));
     const free: PlacementEndpoint[] = [];
     for (const endpoint of endpoints) {
-        const cover = covers.find(({ column }) => isSameRange(endpoint.layers, column.layers));
-        const part = cover === undefined ? findPart(covers, endpoint.layers) : undefined;
-        if (cover !== undefined) {
-            addReplica(model, cover, endpoint);
+        const coverage = coverages.find(({ column }) => isSameRange(endpoint.layers, column.layers));
+        const part = coverage === undefined ? findPart(coverages, endpoint.layers) : undefined;
+        if (coverage !== undefined) {
+            addReplica(model, coverage, endpoint);
         }
         else if (part !== undefined) {
             part.replicas.push(endpoint);
@@ -76,28 +80,28 @@
         }
     }
     const assignments: LayerAssignment[] = [];
-    // Those with the least choice first: what fits into little memory is left to them.
+    // Endpoints with the least memory choose first, since fewer columns fit them.
     free.sort((left, right) => getMemory(model, left) - getMemory(model, right));
     for (const endpoint of free.filter(({ isBusy }) => !isBusy)) {
-        const layers = takeColumn(model, covers, endpoint) ?? takePart(model, covers, endpoint);
+        const layers = assignColumn(model, coverages, endpoint) ?? assignPart(model, coverages, endpoint);
         if (layers !== undefined) {
             assignments.push({ endpointId: endpoint.id, layers });
         }
     }
     const assigned = new Set(assignments.map(({ endpointId }) => endpointId));
-    return { assignments, move: findLocalMove(model, covers, assigned) ?? findMove(model, covers, assigned) };
+    return { assignments, move: findLocalMove(model, coverages, assigned) ?? findMove(model, coverages, assigned) };
 }
 
-/** Creates the cover of a column that nobody holds, cut in all the ways in which it may be held by parts. */
-function createCover(column: LayerColumn): ColumnCover {
-    const parts = new Map<number, PartCover[]>();
-    for (let count = 2; count <= mostParts; count++) {
-        parts.set(count, cutColumn(column.layers, count).map(layers => ({ layers, replicas: [] })));
+/** Creates the coverage of a column without replicas, with each way to split the column into parts. */
+function createCoverage(column: LayerColumn): ColumnCoverage {
+    const parts = new Map<number, PartCoverage[]>();
+    for (let count = 2; count <= maximumPartsPerColumn; count++) {
+        parts.set(count, splitColumn(column.layers, count).map(layers => ({ layers, replicas: [] })));
     }
     return { column, replicas: [], tokens: 0, parts };
 }
 
-function cutColumn({ start, end }: HeldLayers, count: number): HeldLayers[] {
+function splitColumn({ start, end }: HeldLayers, count: number): HeldLayers[] {
     const size = (end - start) / count;
     return Array.from({ length: count }, (_, index) => ({
         start: start + Math.round(index * size),
@@ -105,10 +109,10 @@
     }));
 }
 
-function findPart(covers: readonly ColumnCover[], layers: HeldLayers | undefined): PartCover | undefined {
-    for (const { parts } of covers) {
-        for (const cut of parts.values()) {
-            const part = cut.find(candidate => isSameRange(layers, candidate.layers));
+function findPart(coverages: readonly ColumnCoverage[], layers: HeldLayers | undefined): PartCoverage | undefined {
+    for (const { parts } of coverages) {
+        for (const partition of parts.values()) {
+            const part = partition.find(candidate => isSameRange(layers, candidate.layers));
             if (part !== undefined) {
                 return part;
             }
@@ -117,82 +121,87 @@
     return undefined;
 }
 
-function addReplica(model: EngineModel, cover: ColumnCover, endpoint: PlacementEndpoint): void {
-    cover.replicas.push(endpoint);
-    cover.tokens += getTokens(model, cover.column.layers, endpoint);
+function addReplica(model: EngineModel, coverage: ColumnCoverage, endpoint: PlacementEndpoint): void {
+    coverage.replicas.push(endpoint);
+    coverage.tokens += getRequestTokens(model, coverage.column.layers, endpoint);
 }
 
 function getMemory(model: EngineModel, endpoint: PlacementEndpoint): number {
     return model.kinds.get(endpoint.kind)?.memoryMegabytes ?? 0;
 }
 
-/** Gets the tokens of requests that an endpoint has room for beside the weights of layers; 0 where these don't fit. */
-function getTokens(model: EngineModel, layers: HeldLayers, endpoint: PlacementEndpoint): number {
+/**
+ * Gets the number of request tokens that fit in an endpoint's memory in addition to the weights of layers; 0 if the
+ * weights do not fit.
+ */
+function getRequestTokens(model: EngineModel, layers: HeldLayers, endpoint: PlacementEndpoint): number {
     const kind = model.kinds.get(endpoint.kind);
     const count = layers.end - layers.start;
     return kind === undefined ? 0 : getRequestMemory(model, kind, count) / count;
 }
 
 /**
- * Takes the column for an empty endpoint: one that nobody holds, or else, of those of its kind, one that its data centre lacks.
- * A data centre without some column makes each of its chains cross to another one, and all crossings share the pipes, which are full
- * as soon as endpoints are lost.
+ * Assigns a column to an empty endpoint, preferring columns that were sized for its kind. Among these, a column without
+ * replicas comes first, then the one with the fewest replicas in the endpoint's data centre. If a data centre lacks a
+ * column, each of its chains crosses to another data centre, and the links between data centres, which all chains
+ * share, are saturated as soon as endpoints are lost.
  */
-function takeColumn(
+function assignColumn(
     model: EngineModel,
-    covers: readonly ColumnCover[],
+    coverages: readonly ColumnCoverage[],
     endpoint: PlacementEndpoint,
 ): HeldLayers | undefined {
-    const fitting = covers.filter(({ column }) => isUseful(model, column.layers, endpoint));
+    const fitting = coverages.filter(({ column }) => isUseful(model, column.layers, endpoint));
     const ofKind = fitting.filter(({ column }) => column.kind === endpoint.kind);
-    const choices = (ofKind.length > 0 ? ofKind : fitting).map(cover => ({
-        cover,
-        layers: cover.column.layers,
-        replicas: cover.replicas,
-        ranks: [cover.replicas.length === 0 ? 0 : 1, countNearby(cover, endpoint), cover.replicas.length],
+    const choices = (ofKind.length > 0 ? ofKind : fitting).map(coverage => ({
+        coverage,
+        layers: coverage.column.layers,
+        replicas: coverage.replicas,
+        ranks: [coverage.replicas.length === 0 ? 0 : 1, countNearby(coverage, endpoint), coverage.replicas.length],
     }));
-    const chosen = chooseNeeded(choices);
+    const chosen = chooseLowestRanked(choices);
     if (chosen !== undefined) {
-        addReplica(model, chosen.cover, endpoint);
+        addReplica(model, chosen.coverage, endpoint);
     }
     return chosen?.layers;
 }
 
 /**
- * Takes a part of a column for an endpoint that can hold no whole one. Several of these in a data centre are a replica of the
- * column there; empty they would serve nobody, also while a lost replica is loaded anew for seconds.
+ * Assigns a part of a column to an endpoint that can't hold any column completely. Several such endpoints in a data
+ * centre form a replica of the column. They also serve requests during the seconds in which a lost replica is loaded
+ * again.
  */
-function takePart(
+function assignPart(
     model: EngineModel,
-    covers: readonly ColumnCover[],
+    coverages: readonly ColumnCoverage[],
     endpoint: PlacementEndpoint,
 ): HeldLayers | undefined {
     const choices: LayerChoice[] = [];
-    for (const cover of covers) {
-        const cut = [...cover.parts.values()].find(parts =>
+    for (const coverage of coverages) {
+        const partition = [...coverage.parts.values()].find(parts =>
             parts.every(({ layers }) => isUseful(model, layers, endpoint))
         );
-        if (cut === undefined) {
+        if (partition === undefined) {
             continue;
         }
-        const begun = cut.filter(part => countNearby(part, endpoint) > 0).length;
-        for (const { layers, replicas } of cut) {
-            const nearby = countNearby(cover, endpoint) + countNearby({ replicas }, endpoint);
-            const all = cover.replicas.length + replicas.length;
-            choices.push({ layers, replicas, ranks: [nearby, -begun, cut.length, all] });
+        const heldPartCount = partition.filter(part => countNearby(part, endpoint) > 0).length;
+        for (const { layers, replicas } of partition) {
+            const nearbyCount = countNearby(coverage, endpoint) + countNearby({ replicas }, endpoint);
+            const replicaCount = coverage.replicas.length + replicas.length;
+            choices.push({ layers, replicas, ranks: [nearbyCount, -heldPartCount, partition.length, replicaCount] });
         }
     }
-    const chosen = chooseNeeded(choices);
+    const chosen = chooseLowestRanked(choices);
     chosen?.replicas.push(endpoint);
     return chosen?.layers;
 }
 
-function countNearby({ replicas }: Pick<ColumnCover, "replicas">, { dataCentre }: PlacementEndpoint): number {
+function countNearby({ replicas }: Pick<ColumnCoverage, "replicas">, { dataCentre }: PlacementEndpoint): number {
     return replicas.filter(replica => replica.dataCentre === dataCentre).length;
 }
 
-/** Gets the choice with the lowest ranks; the first of several. */
-function chooseNeeded<Choice extends LayerChoice>(choices: readonly Choice[]): Choice | undefined {
+/** Gets the choice with the lowest ranks; the first one if several are equal. */
+function chooseLowestRanked<Choice extends LayerChoice>(choices: readonly Choice[]): Choice | undefined {
     let best: Choice | undefined;
     for (const choice of choices) {
         if (best === undefined || compareRanks(choice.ranks, best.ranks) < 0) {
@@ -213,79 +222,86 @@
 }
 
 function isUseful(model: EngineModel, layers: HeldLayers, endpoint: PlacementEndpoint): boolean {
-    return getTokens(model, layers, endpoint) >= getLeastTokens(model);
+    return getRequestTokens(model, layers, endpoint) >= getMinimumTokens(model);
 }
 
-/** An endpoint without room for some usual requests is of no use. */
-function getLeastTokens(model: EngineModel): number {
+/**
+ * Gets the least request memory with which an endpoint is useful, in tokens: enough for a few requests of usual size.
+ */
+function getMinimumTokens(model: EngineModel): number {
     const usefulRequests = 8;
     return usefulRequests * (model.usualPromptTokens + model.usualAnswerTokens);
 }
 
 /**
- * Finds an endpoint that should leave a column that its data centre holds more than once for one that it lacks, so that chains
- * need not leave the data centre. Undefined while nobody at all holds some column, which goes first.
+ * Finds an endpoint to move from a column with several replicas in its data centre to a column with none there, so that
+ * chains need not leave the data centre. Undefined while any column has no replica at all, since that column takes
+ * precedence.
  */
 function findLocalMove(
     model: EngineModel,
-    covers: readonly ColumnCover[],
+    coverages: readonly ColumnCoverage[],
     assigned: ReadonlySet<string>,
 ): LayerMove | undefined {
-    if (covers.some(({ replicas }) => replicas.length === 0)) {
+    if (coverages.some(({ replicas }) => replicas.length === 0)) {
         return undefined;
     }
-    for (const giver of covers) {
-        for (const endpoint of giver.replicas) {
-            const isFree = !endpoint.isBusy && !assigned.has(endpoint.id) && countNearby(giver, endpoint) > 1;
-            const lacking = isFree
-                ? covers.find(cover =>
-                    cover.column.kind === giver.column.kind
-                    && countNearby(cover, endpoint) === 0
-                    && isUseful(model, cover.column.layers, endpoint)
+    for (const source of coverages) {
+        for (const endpoint of source.replicas) {
+            const isFree = !endpoint.isBusy && !assigned.has(endpoint.id) && countNearby(source, endpoint) > 1;
+            const target = isFree
+                ? coverages.find(coverage =>
+                    coverage.column.kind === source.column.kind
+                    && countNearby(coverage, endpoint) === 0
+                    && isUseful(model, coverage.column.layers, endpoint)
                 )
                 : undefined;
-            if (lacking !== undefined) {
-                return { endpointId: endpoint.id, layers: lacking.column.layers, isUrgent: false };
+            if (target !== undefined) {
+                return { endpointId: endpoint.id, layers: target.column.layers, isUrgent: false };
             }
         }
     }
     return undefined;
 }
 
-/** Finds the endpoint that should leave a well covered column for the weakest one. One at a time: moves cost service. */
+/**
+ * Finds an endpoint to move from another column to the column with the least memory. Only one endpoint moves at a time,
+ * since it can't serve during the load.
+ */
 function findMove(
     model: EngineModel,
-    covers: readonly ColumnCover[],
+    coverages: readonly ColumnCoverage[],
     assigned: ReadonlySet<string>,
 ): LayerMove | undefined {
-    const [weakest, ...others] = covers.toSorted((left, right) => left.tokens - right.tokens);
+    const [weakest, ...others] = coverages.toSorted((left, right) => left.tokens - right.tokens);
     if (weakest === undefined) {
         return undefined;
     }
-    // Another kind makes the column faster or slower than planned, and is missed where the plan wants it.
-    const givers = others.filter(({ column }) => column.kind === weakest.column.kind);
-    const endpointId = findGiver(model, weakest, givers, assigned) ?? findGiver(model, weakest, others, assigned);
+    // An endpoint of another kind changes the column's speed from the plan, and its own column loses a planned replica.
+    const sources = others.filter(({ column }) => column.kind === weakest.column.kind);
+    const endpointId = findEndpointToMove(model, weakest, sources, assigned)
+        ?? findEndpointToMove(model, weakest, others, assigned);
     const isUrgent = weakest.replicas.length === 0;
     return endpointId === undefined ? undefined : { endpointId, layers: weakest.column.layers, isUrgent };
 }
 
-/** Finds the endpoint whose move leaves the weaker of the two columns with the most memory; its id. */
-function findGiver(
+/** Gets the id of the endpoint whose move leaves the weaker of the two columns with the most memory. */
+function findEndpointToMove(
     model: EngineModel,
-    weakest: ColumnCover,
-    givers: readonly ColumnCover[],
+    weakest: ColumnCoverage,
+    sources: readonly ColumnCoverage[],
     assigned: ReadonlySet<string>,
 ): string | undefined {
     let best: PlacementEndpoint | undefined;
-    let bestRest = weakest.tokens * leastGain;
-    for (const giver of givers) {
-        for (const endpoint of giver.replicas) {
-            const given = getTokens(model, weakest.column.layers, endpoint);
-            const left = giver.tokens - getTokens(model, giver.column.layers, endpoint);
-            const rest = Math.min(left, weakest.tokens + given);
-            const isFree = !endpoint.isBusy && !assigned.has(endpoint.id) && giver.replicas.length > 1;
-            if (isFree && given >= getLeastTokens(model) && rest > bestRest) {
-                bestRest = rest;
+    let bestRemaining = weakest.tokens * minimumMemoryGain;
+    for (const source of sources) {
+        for (const endpoint of source.replicas) {
+            const gained = getRequestTokens(model, weakest.column.layers, endpoint);
+            const left = source.tokens - getRequestTokens(model, source.column.layers, endpoint);
+            const remaining = Math.min(left, weakest.tokens + gained);
+            const isFree = !endpoint.isBusy && !assigned.has(endpoint.id) && source.replicas.length > 1;
+            if (isFree && gained >= getMinimumTokens(model) && remaining > bestRemaining) {
+                bestRemaining = remaining;
                 best = endpoint;
             }
         }
--- a/src/process/placement/chooseLoads.ts
+++ b/src/process/placement/chooseLoads.ts
@@ -3,26 +3,28 @@
 import type { LayerColumn } from "./layerColumn.ts";
 import type { PlacementEndpoint } from "./placementEndpoint.ts";
 
-/** What the choice of loads depends on. */
+/** Input of {@link chooseLoads}. */
 interface LoadQuery {
     columns: readonly LayerColumn[];
-    /** Endpoints that stay, with what they hold or were ordered to hold. */
+    /** Endpoints that are not draining, with the layers that they hold or were ordered to hold. */
     endpoints: readonly PlacementEndpoint[];
-    /** What should be ordered. */
+    /** Assignments that should be ordered now or later. */
     assignments: readonly LayerAssignment[];
-    /** Loads that endpoints are known to have begun and not ended. */
+    /** Number of loads that endpoints have begun and, as far as known, not completed. */
     loading: number;
-    /** Loads at the same time above which each takes longer. */
+    /** Most concurrent loads that don't slow each other down. */
     loadsAtOnce: number;
 }
 
 /**
- * Chooses which assignments are ordered now.
+ * Chooses the assignments to order now. The number of concurrent loads is limited if the service can serve requests.
+ * Otherwise, as at the start, all loads are ordered at once, since no order of loads would let it serve earlier.
  *
- * The load that it answers is the loss of a fifth of the endpoints under full traffic. All loads together end when the last does, and
- * until then no data centre may have a whole chain. One after the other they take as long in sum, and the data centre that lacks least
- * serves after the first. Where nothing serves yet, as at the start, nobody gains by an order, and all are given at once.
- * @returns The assignments to order, those first after which a data centre has all columns.
+ * The limit is meant for the loss of a fifth of the endpoints under full traffic. If all loads run concurrently, they
+ * end at the same time, and until then there may be no data centre with a complete chain. One after the other they take
+ * as long in total, but the data centre that lacks the fewest columns can serve after the first load.
+ * @returns The assignments to order, with the data centre that lacks the fewest columns first and whole columns before
+ * parts.
  */
 export function chooseLoads(
     { columns, endpoints, assignments, loading, loadsAtOnce }: LoadQuery,
@@ -37,18 +39,18 @@
     const ranked = assignments.map(assignment => {
         const dataCentre = dataCentres.get(assignment.endpointId);
         const isWhole = columns.some(({ layers }) => isSameRange(assignment.layers, layers));
-        return { assignment, lacking: countLacking(columns, endpoints, dataCentre), isWhole };
+        return { assignment, missing: countMissingColumns(columns, endpoints, dataCentre), isWhole };
     });
-    ranked.sort((left, right) => left.lacking - right.lacking || Number(right.isWhole) - Number(left.isWhole));
+    ranked.sort((left, right) => left.missing - right.missing || Number(right.isWhole) - Number(left.isWhole));
     return ranked.slice(0, Math.max(0, loadsAtOnce - loading)).map(({ assignment }) => assignment);
 }
 
-/** Counts the columns that a data centre lacks; those that it is loading count as held. */
-function countLacking(
+/** Counts the columns that no endpoint in a data centre holds or is loading. */
+function countMissingColumns(
     columns: readonly LayerColumn[],
     endpoints: readonly PlacementEndpoint[],
     dataCentre: string | undefined,
 ): number {
-    const near = endpoints.filter(endpoint => endpoint.dataCentre === dataCentre);
-    return columns.filter(({ layers }) => !near.some(endpoint => isSameRange(endpoint.layers, layers))).length;
+    const local = endpoints.filter(endpoint => endpoint.dataCentre === dataCentre);
+    return columns.filter(({ layers }) => !local.some(endpoint => isSameRange(endpoint.layers, layers))).length;
 }
--- a/src/process/placement/endpointSettling.ts
+++ b/src/process/placement/endpointSettling.ts
@@ -1,36 +1,42 @@
-/** The endpoints of a service as they were seen last. */
-interface SeenEndpoints {
-    /** Their ids, in order. */
+/** The endpoints of a service when they were last checked. */
+interface EndpointSnapshot {
+    /** Ids of the endpoints, in order. */
     signature: string;
-    /** Monotonic time in milliseconds since which they are the same. */
+    /** Monotonic time since which the endpoints are unchanged, in milliseconds. */
     since: number;
 }
 
-/** Endpoints register within about a second of each other; a plan from half of them would waste the others. */
+/**
+ * Time without changes after which the endpoints count as complete. Endpoints register within about a second of each
+ * other, and a plan made from half of them would leave the others unused.
+ */
 const settleMilliseconds = 900;
 
-/** Tells whether the endpoints of a service have stood still long enough, once, to plan from them or to move a holder. */
+/**
+ * Tracks if the set of endpoints of a service has once been unchanged for long enough to plan from it or to move an
+ * endpoint between columns.
+ */
 export class EndpointSettling {
-    private readonly seen = new Map<string, SeenEndpoints>();
-    /** Services whose endpoints have stood still. Later losses are acted on at once. */
+    private readonly snapshots = new Map<string, EndpointSnapshot>();
+    /** Services whose endpoints have settled. They stay settled, so later losses are handled immediately. */
     private readonly settled = new Set<string>();
 
     private constructor() {}
 
-    /** Creates a record in which no service has settled. */
+    /** Creates an instance in which no service has settled. */
     static create(): EndpointSettling {
         return new EndpointSettling();
     }
 
-    /** Waits anew for the endpoints of each service. */
+    /** Waits for the endpoints of each service to settle again. */
     restart(): void {
         this.settled.clear();
     }
 
     /**
-     * Notes the endpoints of a service; whether they have settled.
+     * Records the endpoints of a service and gets if they have settled.
      * @param service - Name of the service.
-     * @param endpoints - Those that stay.
+     * @param endpoints - Endpoints that are not draining.
      * @param now - Monotonic time in milliseconds.
      */
     note(service: string, endpoints: readonly { id: string; }[], now: number): boolean {
@@ -38,12 +44,12 @@
             return true;
         }
         const signature = endpoints.map(({ id }) => id).join();
-        const known = this.seen.get(service);
-        if (known?.signature !== signature) {
-            this.seen.set(service, { signature, since: now });
+        const snapshot = this.snapshots.get(service);
+        if (snapshot?.signature !== signature) {
+            this.snapshots.set(service, { signature, since: now });
             return false;
         }
-        if (now - known.since < settleMilliseconds) {
+        if (now - snapshot.since < settleMilliseconds) {
             return false;
         }
         this.settled.add(service);
--- a/src/process/placement/kindCount.ts
+++ b/src/process/placement/kindCount.ts
@@ -1,8 +1,8 @@
 import type { AcceleratorKind } from "../../version/routing/acceleratorKind.ts";
 
-/** How many endpoints of a kind there are. */
+/** Number of endpoints of a kind of accelerator. */
 export interface KindCount {
     kind: AcceleratorKind;
-    /** By data centre. */
+    /** Number of endpoints by data centre. */
     counts: ReadonlyMap<string, number>;
 }
--- a/src/process/placement/layerAssignment.ts
+++ b/src/process/placement/layerAssignment.ts
@@ -1,6 +1,6 @@
 import type { HeldLayers } from "../../request/relay/heldLayers.ts";
 
-/** A range that an endpoint should hold. */
+/** An endpoint and the range of layers that it should hold. */
 export interface LayerAssignment {
     endpointId: string;
     layers: HeldLayers;
--- a/src/process/placement/layerColumn.ts
+++ b/src/process/placement/layerColumn.ts
@@ -1,8 +1,14 @@
 import type { HeldLayers } from "../../request/relay/heldLayers.ts";
 
-/** A range of layers that several endpoints hold, each a replica of the others. */
+/**
+ * A range of layers in the plan of a model. The columns of a plan cover all layers in order without overlap, and the
+ * endpoints that hold the same column are its replicas.
+ */
 export interface LayerColumn {
     layers: HeldLayers;
-    /** Name of the kind of accelerator that it was sized for; others may hold it where they have the memory. */
+    /**
+     * Name of the kind of accelerator that the column was sized for. Other kinds may hold it if they have enough
+     * memory.
+     */
     kind: string;
 }
--- a/src/process/placement/layerOrders.ts
+++ b/src/process/placement/layerOrders.ts
@@ -19,76 +19,84 @@
     fetchReport(endpoint: RegisteredEndpoint): Promise<EndpointReport | undefined>;
 }
 
-/** An order that was sent and whose result the endpoint's record doesn't show yet. */
-interface OpenOrder {
+/** An order that was sent and whose result does not show in the endpoint's registration yet. */
+interface PendingOrder {
     layers: HeldLayers;
+    /**
+     * Monotonic time from which the load time counts, in milliseconds. Reset if the endpoint's report can't be fetched.
+     */
     sentAt: number;
-    /** Whether the endpoint said that it has begun it. */
+    /** Whether the endpoint has confirmed that it began the order. */
     isBegun: boolean;
-    isAsking: boolean;
+    /** Whether a request for the endpoint's report is in flight. */
+    isFetchingReport: boolean;
 }
 
-/** An order whose result isn't registered after the time for its load is looked into; loads that share the way take longer. */
-const orderGraceMilliseconds = 2_500;
-/** An endpoint that is busy with another's order is asked again after this time. */
-const busyMilliseconds = 800;
-const secondMilliseconds = 1_000;
+/**
+ * Time beyond the expected load time after which an order is overdue. Loads that share bandwidth take longer than
+ * expected.
+ */
+const overdueMarginMilliseconds = 2_500;
+/** Time for which an endpoint that is busy with an unknown order is given no other order. */
+const busyBackoffMilliseconds = 800;
+const millisecondsPerSecond = 1_000;
 
 /**
- * The orders to hold layers that one node has given, until their results are known. Each carries a fencing number and the number
- * of orders that the endpoint has begun, so that one that arrives late does nothing.
+ * Sends orders to hold layers and tracks them until their results are known. Each order carries a fencing number and
+ * the number of orders that the endpoint has begun, so that an order that arrives late has no effect.
  */
 export class LayerOrders {
     private readonly options: LayerOrdersOptions;
-    private readonly open = new Map<string, OpenOrder>();
-    /** Endpoints that are busy with an order of an earlier holder, until when they are left alone. */
+    private readonly pending = new Map<string, PendingOrder>();
+    /** Monotonic time until which each busy endpoint is given no order, in milliseconds. */
     private readonly busyUntil = new Map<string, number>();
-    /** Number of orders that each endpoint is known to have begun. */
+    /** Number of orders that each endpoint has begun, as far as known. */
     private readonly sequences = new Map<string, number>();
+    /** Highest fencing number that an endpoint has refused. */
     private refusedNumber = 0;
 
     private constructor(options: LayerOrdersOptions) {
         this.options = options;
     }
 
-    /** Creates a record without orders. */
+    /** Creates an instance without orders. */
     static create(options: LayerOrdersOptions): LayerOrders {
         return new LayerOrders(options);
     }
 
-    /** Gets the highest fencing number that an endpoint has refused; orders go on with a higher one only. */
+    /** Gets the highest fencing number that an endpoint has refused. Only orders with a higher number may be sent. */
     getRefusedNumber(): number {
         return this.refusedNumber;
     }
 
-    /** Whether any result is still to come. */
+    /** Gets if any order has no result yet. */
     isAnyOpen(): boolean {
-        return this.open.size > 0;
+        return this.pending.size > 0;
     }
 
-    /** Counts the loads that endpoints have begun and whose end their records don't show. */
+    /** Counts the loads that endpoints have begun and, as far as known, not completed. */
     countLoading(): number {
-        return [...this.open.values()].filter(({ isBegun }) => isBegun).length;
+        return [...this.pending.values()].filter(({ isBegun }) => isBegun).length;
     }
 
-    /** Gets the layers that an endpoint was ordered to hold; undefined where no order is open. */
+    /** Gets the layers that an endpoint was ordered to hold; undefined if no order is pending. */
     getLayers(endpointId: string): HeldLayers | undefined {
-        return this.open.get(endpointId)?.layers;
+        return this.pending.get(endpointId)?.layers;
     }
 
-    /** Whether an endpoint takes no order for now. */
+    /** Gets if an endpoint must not be given an order now. */
     isBusy(endpointId: string, now: number): boolean {
-        return this.open.has(endpointId) || (this.busyUntil.get(endpointId) ?? 0) > now;
+        return this.pending.has(endpointId) || (this.busyUntil.get(endpointId) ?? 0) > now;
     }
 
-    /** Forgets the orders given under an earlier fencing number. */
+    /** Removes all pending orders, which were sent under an earlier fencing number. */
     clear(): void {
-        this.open.clear();
+        this.pending.clear();
     }
 
     /**
      * Orders an endpoint to hold layers.
-     * @throws InvariantError where they leave it no room for requests.
+     * @throws InvariantError if the layers leave the endpoint no memory for requests.
      */
     async send(
         model: EngineModel,
@@ -98,10 +106,10 @@
     ): Promise<void> {
         const { log, clock, sendOrder } = this.options;
         assertFits(model, endpoint, layers);
-        // An endpoint that was ordered by an earlier holder refuses this number, and its report brings the right one.
+        // If an earlier lease holder gave the endpoint orders, it refuses 0, and its report contains the right number.
         const expectedSequence = this.sequences.get(endpoint.id) ?? 0;
-        const order = { layers, sentAt: clock.getMonotonicTime(), isBegun: false, isAsking: false };
-        this.open.set(endpoint.id, order);
+        const order = { layers, sentAt: clock.getMonotonicTime(), isBegun: false, isFetchingReport: false };
+        this.pending.set(endpoint.id, order);
         const sending = sendOrder(endpoint, { layers, fencingNumber, expectedSequence });
         const { start, end } = layers;
         const fields = { endpoint: endpoint.id, start, end, expectedSequence, fencingNumber };
@@ -110,69 +118,71 @@
         log.write(events.placementOrderEnded, { ...fields, outcome: outcome?.kind ?? "unanswered" });
         if (outcome?.kind === "fenced") {
             this.refusedNumber = Math.max(this.refusedNumber, fencingNumber);
-            this.open.delete(endpoint.id);
+            this.pending.delete(endpoint.id);
         }
         else if (outcome?.kind === "begun") {
             order.isBegun = true;
             this.sequences.set(endpoint.id, expectedSequence + 1);
         }
         else if (outcome?.kind !== "done") {
-            await this.readBack(endpoint);
+            await this.fetchResult(endpoint);
         }
     }
 
-    /** Forgets orders whose result the endpoints' records show, and those of endpoints that are gone. */
+    /** Removes orders whose layers the endpoints have registered, and orders of endpoints that are gone. */
     close(endpoints: readonly RegisteredEndpoint[]): void {
         const byId = new Map(endpoints.map(endpoint => [endpoint.id, endpoint]));
-        for (const [id, { layers }] of this.open) {
+        for (const [id, { layers }] of this.pending) {
             const endpoint = byId.get(id);
             if (endpoint === undefined || isSameRange(endpoint.layers, layers)) {
-                this.open.delete(id);
+                this.pending.delete(id);
             }
         }
     }
 
-    /** Asks endpoints what became of orders whose results should have been registered by now. */
+    /** Fetches the reports of endpoints with overdue orders. */
     inquireLate(model: EngineModel, endpoints: readonly RegisteredEndpoint[]): void {
         const now = this.options.clock.getMonotonicTime();
         for (const endpoint of endpoints) {
-            const order = this.open.get(endpoint.id);
+            const order = this.pending.get(endpoint.id);
             if (order === undefined) {
                 continue;
             }
-            const part = (order.layers.end - order.layers.start) / model.layers;
-            if (now - order.sentAt > part * model.loadSeconds * secondMilliseconds + orderGraceMilliseconds) {
-                void this.readBack(endpoint);
+            const fraction = (order.layers.end - order.layers.start) / model.layers;
+            if (now - order.sentAt > fraction * model.loadSeconds * millisecondsPerSecond + overdueMarginMilliseconds) {
+                void this.fetchResult(endpoint);
             }
         }
     }
 
-    /** Learns what became of an order that was not taken, or whose answer was lost. */
-    private async readBack(endpoint: RegisteredEndpoint): Promise<void> {
-        const order = this.open.get(endpoint.id);
-        if (order === undefined || order.isAsking) {
+    /** Fetches the report of an endpoint whose order was refused, unanswered or is overdue, and removes the order. */
+    private async fetchResult(endpoint: RegisteredEndpoint): Promise<void> {
+        const order = this.pending.get(endpoint.id);
+        if (order === undefined || order.isFetchingReport) {
             return;
         }
-        order.isAsking = true;
+        order.isFetchingReport = true;
         const report = await this.options.fetchReport(endpoint);
-        order.isAsking = false;
+        order.isFetchingReport = false;
         if (report === undefined) {
             order.sentAt = this.options.clock.getMonotonicTime();
             return;
         }
         this.sequences.set(endpoint.id, report.orderSequence);
-        this.open.delete(endpoint.id);
+        this.pending.delete(endpoint.id);
         if (report.isBusyWithOrder) {
-            // It may be another's order that it is busy with, so nothing is known of its layers before it is done.
-            this.busyUntil.set(endpoint.id, this.options.clock.getMonotonicTime() + busyMilliseconds);
+            // The order in progress may come from an earlier lease holder, so the endpoint's future layers are unknown.
+            this.busyUntil.set(endpoint.id, this.options.clock.getMonotonicTime() + busyBackoffMilliseconds);
         }
     }
 }
 
-/** Checks that an order leaves the endpoint room for requests; one that doesn't fit would end it. */
+/**
+ * Asserts that an order leaves the endpoint memory for requests. Layers that do not fit would terminate the endpoint.
+ */
 function assertFits(model: EngineModel, endpoint: RegisteredEndpoint, { start, end }: HeldLayers): void {
     const kind = model.kinds.get(endpoint.kind ?? "");
     if (kind === undefined || getRequestMemory(model, kind, end - start) <= 0) {
-        throw InvariantError.create("orderFits", `Layers ${start}-${end} don't fit ${endpoint.id}.`);
+        throw InvariantError.create("orderFits", `Layers ${start}-${end} do not fit in the memory of ${endpoint.id}.`);
     }
 }
--- a/src/process/placement/placementDuty.ts
+++ b/src/process/placement/placementDuty.ts
@@ -25,51 +25,59 @@
 interface PlacementDutyOptions {
     store: Pick<PlatformStore, "get" | "compareAndSwap">;
     lease: Pick<FencedLease, "getFencingNumber" | "getLastNumber">;
-    /** Whether the store answers this node. */
+    /** Gets if this node can reach the store. */
     isStoreAnswering(): boolean;
-    /** Whether this node would take the lease where there is an order to give. */
+    /** Gets if this node would try to acquire the lease when orders are due. */
     isCandidate(): boolean;
     clock: Clock;
-    /** Runs a part of the work that may take long; see `LoopWatch.run`. */
+    /** Runs a synchronous task that may take long; see `LoopWatch.run`. */
     runLong<Result>(name: string, action: () => Result): Result;
     log: EventLog;
-    /** Prefix of the plans' keys; the service's name follows. */
+    /** Prefix of the keys of plans in the store, followed by the name of the service. */
     keyPrefix: string;
     /** Gets the services that have model engines. */
     getModelServices(): RoutedService[];
-    /** Gets the endpoints of a service that stay. */
+    /** Gets the endpoints of a service that are not draining. */
     getEndpoints(service: string): readonly RegisteredEndpoint[];
     sendOrder(endpoint: RegisteredEndpoint, order: LayerOrder): Promise<OrderOutcome | undefined>;
     fetchReport(endpoint: RegisteredEndpoint): Promise<EndpointReport | undefined>;
 }
 
-const tickMilliseconds = 250;
-/** An endpoint that crashed is often back, empty, this long after its record has lapsed; then nobody need move. */
-const moveMilliseconds = 1_500;
-/** A candidate that has found no plan looks again after this time; the holder may be at it. */
-const lookAgainMilliseconds = 3_000;
+const checkIntervalMilliseconds = 250;
+/**
+ * Delay of moves that are not urgent. An endpoint that crashed often registers again without layers within this time
+ * after its registration expired, and then no other endpoint needs to move.
+ */
+const moveDelayMilliseconds = 1_500;
+/** Time after which a candidate without a plan reads the store again. The lease holder may be computing the plan. */
+const candidateRetryMilliseconds = 3_000;
 
 /**
- * Gives endpoints their layers, on the one node that holds the lease. Plans once for a service, keeps the plan in the
- * store, and fills what endpoints come or go. All orders carry the lease's fencing number and the number of orders that
- * the endpoint has begun, so that one that arrives late does nothing.
+ * Assigns layers to endpoints on the node that holds the lease. Makes one plan per service, keeps it in the store, and
+ * orders endpoints to hold the planned columns as endpoints register or are lost. Each order carries the lease's
+ * fencing number and the number of orders that the endpoint has begun, so that an order that arrives late has no
+ * effect.
  */
 export class PlacementDuty {
     private readonly options: PlacementDutyOptions;
     private readonly plans = new Map<string, LayerColumn[]>();
     /**
-     * Services whose plan was looked for in the store since the lease was taken. A successor finds one and goes on with it at
-     * once; only a new plan waits until all endpoints have registered.
+     * Services for which the store was read under the current lease, whether or not it contained a plan. A stored plan
+     * is used immediately; only a new plan waits until all endpoints have registered.
      */
-    private readonly lookedFor = new Set<string>();
-    /** Monotonic time in milliseconds at which each service's plan was looked for last. */
-    private readonly lookedAt = new Map<string, number>();
+    private readonly servicesReadFromStore = new Set<string>();
+    /** Monotonic time of the last attempt to load each service's plan, in milliseconds. */
+    private readonly lastPlanAttemptAt = new Map<string, number>();
     private readonly settling = EndpointSettling.create();
     private readonly orders: LayerOrders;
-    /** The weakest column of each service, by its first layer, and since when it has been weak. */
-    private readonly weakColumns = new Map<string, { start: number; since: number; }>();
+    /**
+     * First layer of the target column of each service's delayed move, and monotonic time since which it is the target.
+     */
+    private readonly dueMoves = new Map<string, { start: number; since: number; }>();
     private timer: TimerHandle | undefined;
-    private loadedNumber = 0;
+    /** Fencing number under which plans were last loaded. */
+    private loadedFencingNumber = 0;
+    /** Whether an attempt to load or make a plan is in progress. */
     private isPlanning = false;
     private isWorkDue = true;
 
@@ -78,56 +86,56 @@
         this.orders = LayerOrders.create(options);
     }
 
-    /** Creates a duty that does nothing before {@link start}. */
+    /** Creates an instance that does nothing before {@link start}. */
     static create(options: PlacementDutyOptions): PlacementDuty {
         return new PlacementDuty(options);
     }
 
-    /** Looks at the endpoints from now on, whenever the lease is held. */
+    /** Starts to check the endpoints periodically while this node holds the lease or is a candidate for it. */
     start(): void {
-        this.timer = this.options.clock.setTimer(tickMilliseconds, () => this.tick());
+        this.timer = this.options.clock.setTimer(checkIntervalMilliseconds, () => this.check());
     }
 
-    /** Gives no further orders. */
+    /** Stops checking the endpoints and sending orders. */
     stop(): void {
         this.timer?.cancel();
         this.timer = undefined;
     }
 
-    /** Whether there is an order to give, as far as a candidate or the holder can tell. */
+    /** Gets if orders are due or pending, as of the last check of a candidate or the lease holder. */
     hasWork(): boolean {
         return this.isWorkDue;
     }
 
-    private tick(): void {
+    private check(): void {
         this.start();
         if (this.isPlanning) {
             return;
         }
         const fencingNumber = this.getFencingNumber();
-        const mayOrder = fencingNumber !== undefined && fencingNumber > this.orders.getRefusedNumber();
-        if (!mayOrder && !this.options.isCandidate()) {
+        const canOrder = fencingNumber !== undefined && fencingNumber > this.orders.getRefusedNumber();
+        if (!canOrder && !this.options.isCandidate()) {
             return;
         }
-        if (mayOrder && fencingNumber !== this.loadedNumber) {
-            this.loadedNumber = fencingNumber;
+        if (canOrder && fencingNumber !== this.loadedFencingNumber) {
+            this.loadedFencingNumber = fencingNumber;
             this.plans.clear();
-            this.lookedFor.clear();
+            this.servicesReadFromStore.clear();
             this.orders.clear();
         }
         this.isWorkDue = false;
         for (const service of this.options.getModelServices()) {
-            const orderNumber = mayOrder ? fencingNumber : undefined;
-            if (service.engine !== undefined && this.place(service.name, service.engine, orderNumber)) {
+            const orderFencingNumber = canOrder ? fencingNumber : undefined;
+            if (service.engine !== undefined && this.placeLayers(service.name, service.engine, orderFencingNumber)) {
                 this.isWorkDue = true;
             }
         }
     }
 
     /**
-     * Gets the number to give orders under. While the store is out of order nobody can renew or take the lease, and layers
-     * that are lost then must be placed all the same; so the last holder goes on. Should the store refuse only this node,
-     * the endpoints refuse its number once another holder has given them an order.
+     * Gets the fencing number for orders. During a store outage no node can renew or acquire the lease, but lost layers
+     * must still be placed, so the last holder continues. If only this node can't reach the store, endpoints refuse its
+     * number once another holder has given them an order.
      */
     private getFencingNumber(): number | undefined {
         const { lease, isStoreAnswering } = this.options;
@@ -135,11 +143,11 @@
     }
 
     /**
-     * Looks at the endpoints of a service, and gives the orders that are due where it may.
-     * @param fencingNumber - Number to give them under; undefined where it may give none.
-     * @returns Whether there is anything to do.
+     * Checks the endpoints of a service and sends the orders that are due.
+     * @param fencingNumber - Fencing number of the orders; undefined if this node must not send any.
+     * @returns Whether a plan is missing, or orders are due or pending.
      */
-    private place(service: string, model: EngineModel, fencingNumber: number | undefined): boolean {
+    private placeLayers(service: string, model: EngineModel, fencingNumber: number | undefined): boolean {
         const endpoints = this.options.getEndpoints(service);
         if (endpoints.length === 0) {
             return false;
@@ -148,20 +156,20 @@
         const isSettled = this.settling.note(service, endpoints, now);
         const columns = this.plans.get(service);
         if (columns === undefined) {
-            const mayOrder = fencingNumber !== undefined;
-            void this.lookForPlan(service, model, endpoints, { isSettled, mayOrder });
+            const canOrder = fencingNumber !== undefined;
+            void this.ensurePlan(service, model, endpoints, { isSettled, canOrder });
             return true;
         }
         this.orders.close(endpoints);
-        const described = this.describe(endpoints, now);
-        const assignments = this.decide(service, model, columns, described, isSettled);
+        const snapshots = this.createPlacementEndpoints(endpoints, now);
+        const assignments = this.getDueOrders(service, model, columns, snapshots, isSettled);
         const isWorkDue = assignments.length > 0 || this.orders.isAnyOpen();
         if (fencingNumber === undefined) {
             return isWorkDue;
         }
         const { loadsAtOnce } = model;
         const loading = this.orders.countLoading();
-        for (const assignment of chooseLoads({ columns, endpoints: described, assignments, loading, loadsAtOnce })) {
+        for (const assignment of chooseLoads({ columns, endpoints: snapshots, assignments, loading, loadsAtOnce })) {
             const endpoint = endpoints.find(({ id }) => id === assignment.endpointId);
             if (endpoint !== undefined) {
                 void this.orders.send(model, endpoint, assignment.layers, fencingNumber);
@@ -171,7 +179,7 @@
         return isWorkDue;
     }
 
-    private describe(endpoints: readonly RegisteredEndpoint[], now: number): PlacementEndpoint[] {
+    private createPlacementEndpoints(endpoints: readonly RegisteredEndpoint[], now: number): PlacementEndpoint[] {
         return endpoints.map(endpoint => ({
             id: endpoint.id,
             dataCentre: endpoint.dataCentre,
@@ -181,28 +189,31 @@
         }));
     }
 
-    /** Loads the plan of a service, or makes it; a candidate only looks, and not at each tick. */
-    private async lookForPlan(
+    /** Loads or makes the plan of a service if an attempt is due. A candidate only loads it, and less often. */
+    private async ensurePlan(
         service: string,
         model: EngineModel,
         endpoints: readonly RegisteredEndpoint[],
-        { isSettled, mayOrder }: { isSettled: boolean; mayOrder: boolean; },
+        { isSettled, canOrder }: { isSettled: boolean; canOrder: boolean; },
     ): Promise<void> {
         const now = this.options.clock.getMonotonicTime();
-        const isDue = mayOrder
-            ? isSettled || !this.lookedFor.has(service)
-            : isSettled && now - (this.lookedAt.get(service) ?? -Infinity) > lookAgainMilliseconds;
+        const isDue = canOrder
+            ? isSettled || !this.servicesReadFromStore.has(service)
+            : isSettled && now - (this.lastPlanAttemptAt.get(service) ?? -Infinity) > candidateRetryMilliseconds;
         if (!isDue) {
             return;
         }
-        this.lookedAt.set(service, now);
+        this.lastPlanAttemptAt.set(service, now);
         this.isPlanning = true;
-        await this.loadPlan(service, model, endpoints, isSettled && mayOrder);
+        await this.loadPlan(service, model, endpoints, isSettled && canOrder);
         this.isPlanning = false;
     }
 
-    /** Decides on orders; a move to a weak column only once that has been weak for a while, since a lost replica may return. */
-    private decide(
+    /**
+     * Gets the orders that are due. A move that is not urgent is delayed, since a lost replica of the target column may
+     * recover.
+     */
+    private getDueOrders(
         service: string,
         model: EngineModel,
         columns: readonly LayerColumn[],
@@ -214,20 +225,20 @@
             "assignLayers",
             () => assignLayers(model, columns, endpoints),
         );
-        const weak = this.weakColumns.get(service);
-        // A successor may not know all endpoints yet, and a holder that is moved for a column that only looks weak is lost.
+        const dueMove = this.dueMoves.get(service);
+        // A new lease holder may not know all endpoints yet, and a needless move takes a replica from another column.
         if (move === undefined || !isSettled) {
-            this.weakColumns.delete(service);
+            this.dueMoves.delete(service);
             return assignments;
         }
-        if (weak?.start !== move.layers.start) {
-            this.weakColumns.set(service, { start: move.layers.start, since: now });
+        if (dueMove?.start !== move.layers.start) {
+            this.dueMoves.set(service, { start: move.layers.start, since: now });
             return assignments;
         }
-        if (now - weak.since < moveMilliseconds && !move.isUrgent) {
+        if (now - dueMove.since < moveDelayMilliseconds && !move.isUrgent) {
             return assignments;
         }
-        this.weakColumns.delete(service);
+        this.dueMoves.delete(service);
         return [...assignments, move];
     }
 
@@ -235,7 +246,7 @@
         service: string,
         model: EngineModel,
         endpoints: readonly RegisteredEndpoint[],
-        mayPlan: boolean,
+        canCreatePlan: boolean,
     ): Promise<void> {
         const { store, keyPrefix, log, clock } = this.options;
         const key = `${keyPrefix}${service}`;
@@ -244,14 +255,14 @@
             log.write(events.leaseCallFailed, { key, reason: stored.val.message });
             return;
         }
-        this.lookedFor.add(service);
+        this.servicesReadFromStore.add(service);
         const record = stored.val === undefined ? undefined : parseRecord(stored.val.value);
         if (record !== undefined && record.layers === model.layers && record.modelName === model.modelName) {
             this.plans.set(service, record.columns);
             log.write(events.placementPlanned, { service, source: "store", columns: formatColumns(record.columns) });
             return;
         }
-        if (!mayPlan) {
+        if (!canCreatePlan) {
             return;
         }
         const columns = await runInSlices(searchColumns(model, countKinds(model, endpoints)), clock);
@@ -259,9 +270,9 @@
             log.write(events.layersWithoutEngine, { service });
             return;
         }
-        const planned: PlacementRecord = { service, modelName: model.modelName, layers: model.layers, columns };
-        const written = await store.compareAndSwap(key, stored.val?.revision ?? 0, JSON.stringify(planned));
-        // A lost answer is found by the next read, and a plan of another holder by its revision.
+        const newRecord: PlacementRecord = { service, modelName: model.modelName, layers: model.layers, columns };
+        const written = await store.compareAndSwap(key, stored.val?.revision ?? 0, JSON.stringify(newRecord));
+        // If the answer was lost or another node stored a plan first, the next attempt reads the stored plan.
         if (written.ok && written.val.swapped) {
             this.plans.set(service, columns);
             log.write(events.placementPlanned, { service, source: "computed", columns: formatColumns(columns) });
@@ -274,7 +285,7 @@
         return placementRecordSchema.safeParse(JSON.parse(text)).data;
     }
     catch {
-        // A text that is no JSON is no plan; a new one takes its place.
+        // Invalid JSON counts as no plan, and a new plan replaces it.
         return undefined;
     }
 }
@@ -282,9 +293,9 @@
 function countKinds(model: EngineModel, endpoints: readonly RegisteredEndpoint[]): KindCount[] {
     const counts = new Map<string, Map<string, number>>();
     for (const { kind = "", dataCentre } of endpoints) {
-        const ofKind = counts.get(kind) ?? new Map<string, number>();
-        ofKind.set(dataCentre, (ofKind.get(dataCentre) ?? 0) + 1);
-        counts.set(kind, ofKind);
+        const kindCounts = counts.get(kind) ?? new Map<string, number>();
+        kindCounts.set(dataCentre, (kindCounts.get(dataCentre) ?? 0) + 1);
+        counts.set(kind, kindCounts);
     }
     return [...model.kinds.values()].map(kind => ({ kind, counts: counts.get(kind.name) ?? new Map() }));
 }
--- a/src/process/placement/placementEndpoint.ts
+++ b/src/process/placement/placementEndpoint.ts
@@ -1,13 +1,13 @@
 import type { HeldLayers } from "../../request/relay/heldLayers.ts";
 
-/** An endpoint as the placement sees it. */
+/** An endpoint with the state that placement decisions depend on. */
 export interface PlacementEndpoint {
     id: string;
     dataCentre: string;
-    /** Name of its kind of accelerator. */
+    /** Name of its kind of accelerator; empty if unknown. */
     kind: string;
-    /** Layers that it holds or was ordered to hold; undefined where it is empty. */
+    /** Layers that it holds or was ordered to hold; undefined if there are none. */
     layers: HeldLayers | undefined;
-    /** Whether it is carrying out an order and takes no other. */
+    /** Whether it is carrying out an order, so that it must not be given another one. */
     isBusy: boolean;
 }
--- a/src/process/placement/placementRecord.ts
+++ b/src/process/placement/placementRecord.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** The plan of one service's layers, as it stands in the platform's store. */
+/** Schema of the plan of a service's layers in the platform's store. */
 export const placementRecordSchema = z.object({
     service: z.string(),
     modelName: z.string(),
--- a/src/process/placement/searchColumns.ts
+++ b/src/process/placement/searchColumns.ts
@@ -9,69 +9,83 @@
 import type { KindCount } from "./kindCount.ts";
 import type { LayerColumn } from "./layerColumn.ts";
 
-/** Columns of one kind: how many there are, and how many layers each holds. */
+/** Columns that are sized for one kind of accelerator. */
 interface KindShare {
     kind: AcceleratorKind;
+    /** Number of columns. */
     columns: number;
+    /** Layers per column; not an integer if the columns differ by one layer. */
     layers: number;
-    /** Endpoints of the kind. */
+    /** Number of endpoints of the kind. */
     count: number;
-    /** The same by data centre. */
+    /** Number of endpoints of the kind by data centre. */
     counts: ReadonlyMap<string, number>;
 }
 
-/** What all shares that one plan looks at have in common. */
-interface Fleet {
+/** Data shared by all candidates of one search. */
+interface SearchContext {
     /** Number of data centres that have endpoints. */
     dataCentres: number;
-    /** Part of the requests that could stay in one data centre each, by the names of the kinds in use; filled as it is asked for. */
-    localParts: Map<string, number>;
+    /** Cache of the fraction of requests that could stay in one data centre, by the names of the kinds in use. */
+    localFractions: Map<string, number>;
 }
 
 /**
- * Requests differ in size about as much as they are large on average, so that the memory needed by n of them varies by
- * the square root of n requests; so many times that is kept free.
+ * Memory that is kept free, in standard deviations of the memory that requests need. The standard deviation of a
+ * request's size is about its mean, so that of n requests is about the square root of n times the mean.
  */
-const spreadsKeptFree = 1.5;
-/** Part of an engine's time that prompts may take; beyond it the answers being written wait too long. */
-const busyPart = 0.5;
-/** A column loses one of its replicas at a time and must bear it; one without a spare counts this little. */
-const withoutSpare = 0.35;
+const freeStandardDeviations = 1.5;
 /**
- * The loss of one replica breaks into the answers of all requests that pass through it. That it strikes a quarter of the
- * requests and not a half is worth this power of e in rate for each unit, here about a factor of two.
+ * Highest utilization of an engine by prompts, and of a link by transfers. With more prompts, the generation of answers
+ * is delayed too long.
+ */
+const maximumUtilization = 0.5;
+/**
+ * Effective number of replicas of a column with a single replica. Other columns count one replica less than they have,
+ * since a column must sustain the loss of one replica.
+ */
+const singleReplicaCapacity = 0.35;
+/**
+ * Weight of the fraction of requests that pass through one replica, since the loss of the replica interrupts all of
+ * their answers. The rate of a candidate is multiplied by exp(-weight * fraction), so affecting a quarter of the
+ * requests instead of half is worth about a factor of two.
  */
 const lossWeight = 2.8;
-/** More columns of one kind than this only add crossings. */
-const mostColumnsOfKind = 6;
-/** Endpoints are planned to be in use for two thirds, so that a data centre can take more than its part. */
-const sparePart = 1.5;
+/** Most columns of one kind. More columns only add transfers between data centres. */
+const maximumColumnsPerKind = 6;
+/**
+ * Capacity relative to the planned load: a utilization of two thirds lets a data centre take more than its share of
+ * requests.
+ */
+const capacityFactor = 1.5;
 
 /**
- * Plans ranges of layers so that all endpoints of a kind hold ranges of about one size, and every range has replicas.
- * Searches the number of columns and of layers for each kind, for the most requests a second that memory, time and the
- * loss of one replica allow: requests in progress are their rate times their duration, and a long chain of slow stages
- * keeps them longer in memory. There are tens of thousands of them, so that the search may be paused after each.
- * @param model - Figures of the model.
- * @param kinds - Endpoints by kind.
- * @returns Columns that tile all layers in order; empty where the weights fit nowhere.
+ * Plans columns so that all endpoints of a kind hold ranges of about the same size, and every range has replicas.
+ *
+ * Searches the number of columns and of layers per column for each kind of accelerator, and chooses the candidate with
+ * the highest request rate that memory, compute time and the loss of one replica allow. The number of requests in
+ * progress is their rate times their duration, so a long chain of slow stages needs more memory. There are tens of
+ * thousands of candidates, so the generator yields after each one to let the caller pause the search.
+ * @param model - Performance figures of the model.
+ * @param kinds - Number of endpoints by kind.
+ * @returns Columns that cover all layers in order; empty if the weights fit no combination of endpoints.
  */
 export function* searchColumns(model: EngineModel, kinds: readonly KindCount[]): Generator<void, LayerColumn[]> {
     const available = kinds.filter(({ counts }) => sum(counts.values()) > 0);
     available.sort((left, right) => left.kind.stepFactor - right.kind.stepFactor);
-    // Tens of thousands of shares are looked at, so what they have in common is found once.
-    const fleet: Fleet = { dataCentres: countDataCentres(available), localParts: new Map() };
+    // Computed once, since the search evaluates tens of thousands of candidates.
+    const context: SearchContext = { dataCentres: countDataCentres(available), localFractions: new Map() };
     let best: KindShare[] = [];
     let bestRate = 0;
     for (const shares of enumerateShares(model, available, 0, model.layers)) {
-        const rate = getSustainedRate(model, fleet, shares) * Math.exp(-lossWeight * getWorstLoss(shares));
+        const rate = getSustainedRate(model, context, shares) * Math.exp(-lossWeight * getLargestLossFraction(shares));
         if (rate > bestRate) {
             bestRate = rate;
             best = shares;
         }
         yield;
     }
-    return layOut(model, best);
+    return createColumns(model, best);
 }
 
 function* enumerateShares(
@@ -95,7 +109,10 @@
     }
 }
 
-/** Lists the shares of one kind. A kind that comes last holds all that is left, with ranges of nearly one size. */
+/**
+ * Enumerates the shares of one kind. The last kind holds all remaining layers, in columns that differ by at most one
+ * layer.
+ */
 function* enumerateKind(
     model: EngineModel,
     { kind, counts }: KindCount,
@@ -106,33 +123,33 @@
     if (!isLast || layersLeft === 0) {
         yield { kind, columns: 0, layers: 0, count, counts };
     }
-    const mostLayers = Math.min(layersLeft, Math.floor(kind.memoryMegabytes / model.layerMegabytes));
-    for (let columns = 1; columns <= Math.min(count, mostColumnsOfKind); columns++) {
+    const maximumLayers = Math.min(layersLeft, Math.floor(kind.memoryMegabytes / model.layerMegabytes));
+    for (let columns = 1; columns <= Math.min(count, maximumColumnsPerKind); columns++) {
         if (isLast) {
-            if (Math.ceil(layersLeft / columns) <= mostLayers && layersLeft >= columns) {
+            if (Math.ceil(layersLeft / columns) <= maximumLayers && layersLeft >= columns) {
                 yield { kind, columns, layers: layersLeft / columns, count, counts };
             }
             continue;
         }
-        for (let layers = 1; layers <= mostLayers && layers * columns <= layersLeft; layers++) {
+        for (let layers = 1; layers <= maximumLayers && layers * columns <= layersLeft; layers++) {
             yield { kind, columns, layers, count, counts };
         }
     }
 }
 
-/** Gets the part of all requests that pass through one replica, at the column with the fewest. */
-function getWorstLoss(shares: readonly KindShare[]): number {
-    let worst = 0;
+/** Gets the highest fraction of requests that pass through one replica: that of the column with the fewest replicas. */
+function getLargestLossFraction(shares: readonly KindShare[]): number {
+    let largest = 0;
     for (const { columns, count } of shares) {
         if (columns > 0) {
-            worst = Math.max(worst, 1 / Math.floor(count / columns));
+            largest = Math.max(largest, 1 / Math.floor(count / columns));
         }
     }
-    return worst;
+    return largest;
 }
 
-/** Gets the most requests a second that the shares sustain. */
-function getSustainedRate(model: EngineModel, fleet: Fleet, shares: readonly KindShare[]): number {
+/** Gets the highest rate of requests that the shares sustain, in requests per millisecond. */
+function getSustainedRate(model: EngineModel, context: SearchContext, shares: readonly KindShare[]): number {
     const usualTokens = getMeanContext(model);
     let inProgress = Infinity;
     let rateByTime = Infinity;
@@ -141,61 +158,62 @@
             continue;
         }
         const replicas = Math.floor(share.count / share.columns);
-        const effective = replicas > 1 ? replicas - 1 : withoutSpare;
+        const effectiveReplicas = replicas > 1 ? replicas - 1 : singleReplicaCapacity;
         const memory = getRequestMemory(model, share.kind, Math.ceil(share.layers));
-        const inMemory = memory / (usualTokens * share.layers);
-        const usable = Math.max(0, inMemory - spreadsKeptFree * Math.sqrt(inMemory));
-        inProgress = Math.min(inProgress, effective * Math.min(usable, model.slots));
+        const requestsInMemory = memory / (usualTokens * share.layers);
+        const usableRequests = Math.max(0, requestsInMemory - freeStandardDeviations * Math.sqrt(requestsInMemory));
+        inProgress = Math.min(inProgress, effectiveReplicas * Math.min(usableRequests, model.slots));
         const work = createWork(share, 0);
         const prefill = estimatePrefill(model, work, model.usualPromptTokens);
-        rateByTime = Math.min(rateByTime, effective * busyPart / prefill);
+        rateByTime = Math.min(rateByTime, effectiveReplicas * maximumUtilization / prefill);
     }
     if (inProgress === Infinity) {
         return 0;
     }
-    const crossings = getCrossings(fleet, shares);
+    const crossings = getCrossings(context, shares);
     const transfer = getTransferTime(model, model.usualPromptTokens + model.usualAnswerTokens);
-    const rateByPipes = crossings === 0 ? Infinity : busyPart / (crossings * transfer);
-    const crossing = transfer / busyPart + model.usualAnswerTokens * model.crossingMilliseconds;
-    const duration = getDuration(model, shares, inProgress) + crossings * crossing;
-    return Math.min(inProgress / duration, rateByTime, rateByPipes);
+    const rateByBandwidth = crossings === 0 ? Infinity : maximumUtilization / (crossings * transfer);
+    const crossingDuration = transfer / maximumUtilization + model.usualAnswerTokens * model.crossingMilliseconds;
+    const duration = getDuration(model, shares, inProgress) + crossings * crossingDuration;
+    return Math.min(inProgress / duration, rateByTime, rateByBandwidth);
 }
 
 /**
- * Estimates how often a chain crosses between data centres. Between columns of one kind it must where a column has
- * fewer replicas than there are data centres; between two kinds as far as no data centre has enough of both.
+ * Estimates how often a chain crosses between data centres. Between columns of one kind it crosses if a column has
+ * fewer replicas than there are data centres; between kinds, to the extent that data centres lack endpoints of one of
+ * them.
  */
-function getCrossings(fleet: Fleet, shares: readonly KindShare[]): number {
+function getCrossings(context: SearchContext, shares: readonly KindShare[]): number {
     const used = shares.filter(({ columns }) => columns > 0);
-    const { dataCentres } = fleet;
-    const away = 1 - Math.min(1, sparePart * getLocalPart(fleet, used));
-    let crossings = (used.length - 1) * away;
+    const { dataCentres } = context;
+    const remoteFraction = 1 - Math.min(1, capacityFactor * getLocalFraction(context, used));
+    let crossings = (used.length - 1) * remoteFraction;
     for (const { count, columns } of used) {
         crossings += (columns - 1) * Math.max(0, 1 - Math.floor(count / columns) / dataCentres);
     }
     return crossings;
 }
 
-/** Gets the part of all requests that could stay in one data centre each if every endpoint were in full use. */
-function getLocalPart({ localParts }: Fleet, used: readonly KindShare[]): number {
+/** Gets the fraction of requests that could stay in one data centre if all endpoints were fully used. */
+function getLocalFraction({ localFractions }: SearchContext, used: readonly KindShare[]): number {
     const names = used.map(({ kind }) => kind.name).join();
-    const known = localParts.get(names);
-    if (known !== undefined) {
-        return known;
+    const cached = localFractions.get(names);
+    if (cached !== undefined) {
+        return cached;
     }
-    let part = 0;
+    let fraction = 0;
     for (const dataCentre of new Set(used.flatMap(({ counts }) => [...counts.keys()]))) {
-        part += Math.min(...used.map(({ count, counts }) => (counts.get(dataCentre) ?? 0) / count));
+        fraction += Math.min(...used.map(({ count, counts }) => (counts.get(dataCentre) ?? 0) / count));
     }
-    localParts.set(names, part);
-    return part;
+    localFractions.set(names, fraction);
+    return fraction;
 }
 
 function countDataCentres(kinds: readonly KindCount[]): number {
     return new Set(kinds.flatMap(({ counts }) => [...counts.keys()])).size;
 }
 
-/** Gets how long a usual request takes with so many in progress, in milliseconds. */
+/** Gets the duration of a usual request in milliseconds, for a number of requests in progress. */
 function getDuration(model: EngineModel, shares: readonly KindShare[], inProgress: number): number {
     let duration = 0;
     for (const share of shares) {
@@ -213,18 +231,18 @@
     return { kind, layers, requests, slowness: 1 };
 }
 
-function layOut(model: EngineModel, shares: readonly KindShare[]): LayerColumn[] {
+function createColumns(model: EngineModel, shares: readonly KindShare[]): LayerColumn[] {
     const columns: LayerColumn[] = [];
-    let at = 0;
+    let nextLayer = 0;
     for (const share of shares) {
-        const first = at;
+        const firstLayer = nextLayer;
         for (let index = 1; index <= share.columns; index++) {
-            const end = first + Math.round(share.layers * index);
-            columns.push({ layers: { start: at, end }, kind: share.kind.name });
-            at = end;
+            const end = firstLayer + Math.round(share.layers * index);
+            columns.push({ layers: { start: nextLayer, end }, kind: share.kind.name });
+            nextLayer = end;
         }
     }
-    return at === model.layers ? columns : [];
+    return nextLayer === model.layers ? columns : [];
 }
 
 function sum(numbers: Iterable<number>): number {
--- a/tests/process/placement/assignLayers.test.ts
+++ b/tests/process/placement/assignLayers.test.ts
@@ -26,7 +26,7 @@
     return assignLayers(relayModel, columns, endpoints).move;
 }
 
-/** Creates endpoints that hold the columns, so many each. */
+/** Creates the given number of endpoints that hold each column. */
 function createHolders(fast: number, middleSecond: number, middleThird: number): PlacementEndpoint[] {
     const create = (count: number, kind: string, layers: typeof first) =>
         Array.from({ length: count }, (_, index) => createEndpoint(`${layers.start}-${index}`, kind, layers));
@@ -38,7 +38,7 @@
 }
 
 describe("assignLayers", () => {
-    it("spreads the endpoints of a kind over its columns, in each data centre", () => {
+    it("distributes the endpoints of a kind over its columns in each data centre", () => {
         const endpoints = ["a", "a", "b", "b"].map((dataCentre, index) =>
             createEndpoint(String(index), "middle", undefined, dataCentre)
         );
@@ -51,7 +51,7 @@
         }
     });
 
-    it("leaves endpoints alone that hold a column", () => {
+    it("assigns nothing to endpoints that hold a column", () => {
         const endpoints = [
             createEndpoint("1", "fast", first),
             createEndpoint("2", "fast", first),
@@ -63,7 +63,7 @@
         assert.deepEqual(assign(endpoints), []);
     });
 
-    it("gives an endpoint that came back empty to the column that lost it", () => {
+    it("assigns an endpoint that restarted without layers to the column that lost a replica", () => {
         const endpoints = [
             createEndpoint("1", "fast", first),
             createEndpoint("2", "fast", first),
@@ -75,7 +75,7 @@
         assert.deepEqual(assign(endpoints), [{ endpointId: "6", layers: third }]);
     });
 
-    it("moves one endpoint to a column that nobody holds any more, at once, and never the last of its own", () => {
+    it("moves one endpoint urgently to a column without replicas, but never the last replica of its own column", () => {
         const decided = move(createHolders(1, 2, 0));
         assert.deepEqual(decided?.layers, third);
         assert.equal(decided?.isUrgent, true);
@@ -83,7 +83,7 @@
         assert.equal(move(createHolders(1, 1, 0)), undefined);
     });
 
-    it("moves one endpoint from a column with many replicas to one with few of the same kind", () => {
+    it("moves one endpoint from a column with many replicas to one of the same kind with few", () => {
         const decided = move(createHolders(4, 3, 7));
         assert.deepEqual(decided?.layers, second);
         assert.match(decided?.endpointId ?? "", /^40-/);
@@ -91,13 +91,13 @@
         assert.equal(move(createHolders(4, 5, 6)), undefined);
     });
 
-    it("leaves endpoints alone that are busy with an order", () => {
+    it("neither assigns layers to busy endpoints nor moves them", () => {
         const endpoints = createHolders(1, 2, 0).map(endpoint => ({ ...endpoint, isBusy: true }));
         assert.equal(move(endpoints), undefined);
         assert.deepEqual(assign([{ ...createEndpoint("1", "middle"), isBusy: true }]), []);
     });
 
-    it("gives no endpoint more than its memory holds, and nothing to one whose kind isn't known", () => {
+    it("assigns no more layers than fit in memory, and none to an endpoint of an unknown kind", () => {
         const assignments = assign([createEndpoint("1", "slow"), createEndpoint("2", "unknown")]);
         assert.deepEqual(assignments.map(({ endpointId }) => endpointId), ["1"]);
         for (const { layers } of assignments) {
@@ -106,7 +106,7 @@
         }
     });
 
-    it("completes a column by its parts in each data centre where an endpoint can't hold the whole", () => {
+    it("completes a column from parts in each data centre if no endpoint can hold all of it", () => {
         const endpoints = ["a", "a", "b", "b"].map((dataCentre, index) =>
             createEndpoint(String(index), "slow", undefined, dataCentre)
         );
@@ -126,7 +126,7 @@
         assert.deepEqual(assign([...createHolders(1, 1, 1), ...held]), []);
     });
 
-    it("leaves no data centre without a column that it has the endpoints for, in whichever order they come", () => {
+    it("assigns every column in each data centre that has enough endpoints, in any order of the endpoints", () => {
         for (let seed = 1; seed <= 20; seed++) {
             const random = createSeededRandom(seed);
             const endpoints = ["a", "b", "c", "d", "e"].flatMap(dataCentre => [
@@ -141,7 +141,7 @@
         }
     });
 
-    it("moves an endpoint to a column that its data centre lacks where it holds another one twice", () => {
+    it("moves an endpoint to a column that its data centre lacks from one that it holds twice", () => {
         const endpoints = [
             createEndpoint("1", "fast", first),
             createEndpoint("2", "middle", second, "a"),
--- a/tests/process/placement/chooseLoads.test.ts
+++ b/tests/process/placement/chooseLoads.test.ts
@@ -21,13 +21,13 @@
 }
 
 describe("chooseLoads", () => {
-    it("orders everything at once while nothing serves", () => {
+    it("orders all loads at once while the service has no complete chain", () => {
         const endpoints = [createEndpoint("a1"), createEndpoint("a2"), createEndpoint("b1"), createEndpoint("b2")];
         const assignments = assign(["a1", first], ["a2", second], ["b1", first], ["b2", second]);
         assert.deepEqual(listIds(endpoints, assignments), ["a1", "a2", "b1", "b2"]);
     });
 
-    it("completes the data centre that lacks least first, with no more loads than run at full speed", () => {
+    it("prefers the data centre that lacks the fewest columns, within the limit of concurrent loads", () => {
         const endpoints = [
             createEndpoint("a1"),
             createEndpoint("a2"),
@@ -40,7 +40,7 @@
         assert.deepEqual(listIds(endpoints, assignments), ["b2", "a1"]);
     });
 
-    it("counts the loads that are under way", () => {
+    it("counts the loads in progress toward the limit", () => {
         const endpoints = [
             createEndpoint("a1", first, true),
             createEndpoint("b1", second, true),
@@ -52,7 +52,7 @@
         assert.deepEqual(listIds(endpoints, assign(["b2", first]), 1), ["b2"]);
     });
 
-    it("orders whole columns before parts of them", () => {
+    it("prefers whole columns to parts of columns", () => {
         const endpoints = [
             createEndpoint("a1"),
             createEndpoint("a2"),
--- a/tests/process/placement/placementDuty.test.ts
+++ b/tests/process/placement/placementDuty.test.ts
@@ -18,7 +18,7 @@
     return createEndpoint(id, { kind, layers });
 }
 
-describe("PlacementDuty", () => {
+describe("PlacementController", () => {
     let clock: FakeClock;
     let store: MemoryStore;
     let endpoints: RegisteredEndpoint[];
@@ -59,7 +59,7 @@
         await store.compareAndSwap(planKey, 0, JSON.stringify(plan));
     }
 
-    it("goes on at once with the plan that it finds when it takes the lease", async () => {
+    it("uses a stored plan immediately after it acquires the lease", async () => {
         await storePlan();
         start(2);
         await clock.advance(600);
@@ -67,7 +67,7 @@
         assert.equal(orders[0]!.order.fencingNumber, 2);
     });
 
-    it("plans anew only once the endpoints have registered", async () => {
+    it("creates a new plan only after the endpoints have settled", async () => {
         const others = Array.from({ length: 8 }, (_, index) => createMiddle(`other-${index}`));
         endpoints = [...others.slice(0, 4).map(endpoint => ({ ...endpoint, kind: "fast" })), ...others.slice(4)];
         start(1);
@@ -77,7 +77,7 @@
         assert.notEqual(await store.get(planKey).then(stored => stored.unwrap()), undefined);
     });
 
-    it("moves no holder before it knows that all endpoints are there", async () => {
+    it("moves no endpoint between columns before the endpoints have settled", async () => {
         await storePlan();
         endpoints = [createMiddle("x", second), createMiddle("w", second)];
         start(2);
@@ -87,7 +87,7 @@
         assert.equal(orders.length, 1);
     });
 
-    it("moves a holder at once for a column that has lost its last one", async () => {
+    it("moves an endpoint without delay to a column that has lost its last replica", async () => {
         await storePlan();
         endpoints = [createMiddle("x", second), createMiddle("w", second), createMiddle("y", third)];
         start(2);
--- a/tests/process/placement/searchColumns.test.ts
+++ b/tests/process/placement/searchColumns.test.ts
@@ -37,19 +37,19 @@
         { fast: [4, 4, 4] },
     ];
     for (const fleet of fleets) {
-        it(`tiles the layers and leaves memory for requests: ${JSON.stringify(fleet)}`, () => {
+        it(`covers all layers in order and leaves memory for requests: ${JSON.stringify(fleet)}`, () => {
             const columns = plan(fleet);
-            let at = 0;
+            let nextLayer = 0;
             for (const { layers, kind } of columns) {
-                assert.equal(layers.start, at);
+                assert.equal(layers.start, nextLayer);
                 assert.ok(getRequestMemory(relayModel, relayModel.kinds.get(kind)!, layers.end - layers.start) > 0);
-                at = layers.end;
+                nextLayer = layers.end;
             }
-            assert.equal(at, relayModel.layers);
+            assert.equal(nextLayer, relayModel.layers);
         });
     }
 
-    it("lets no endpoint carry more than a quarter of the requests where there are enough of each kind", () => {
+    it("routes nextLayer most a quarter of the requests through one endpoint if there are enough of each kind", () => {
         const fleet = fleets[0]!;
         const columns = plan(fleet);
         for (const [kind, counts] of Object.entries(fleet)) {
@@ -58,18 +58,18 @@
         }
     });
 
-    it("leaves no fast kind unused where it is in every data centre", () => {
+    it("uses a fast kind that is present in every data centre", () => {
         for (const fleet of fleets.slice(0, 2)) {
             assert.ok(plan(fleet).some(({ kind }) => kind === "fast"));
         }
     });
 
-    it("plans nothing where the weights fit nowhere", () => {
+    it("returns no columns if the weights do not fit", () => {
         assert.deepEqual(plan({ slow: [1, 1, 1] }), []);
     });
 
-    // The holder of the lease stood still for half a second while it planned, on a small part of a core.
-    it("can be paused often, however many endpoints there are", () => {
+    // Guards against blocking the event loop: on a fraction of a core, an uninterrupted search takes half a second.
+    it("yields often enough for the caller to pause the search", () => {
         const search = searchColumns(
             relayModel,
             listKinds({ fast: [2, 2, 4], middle: [9, 15, 6], slow: [22, 12, 14] }),
