--- a/src/process/orders/engineGrace.ts
+++ b/src/process/orders/engineGrace.ts
@@ -23,17 +23,17 @@
  * since it is shutting down on purpose.
  */
 export class EngineGrace {
-    private readonly graceMilliseconds: number;
+    private readonly gracePeriodMilliseconds: number;
     private readonly observed = new Map<string, ObservedState>();
     private observedAt: number | undefined;
 
-    private constructor(graceMilliseconds: number) {
-        this.graceMilliseconds = graceMilliseconds;
+    private constructor(gracePeriodMilliseconds: number) {
+        this.gracePeriodMilliseconds = gracePeriodMilliseconds;
     }
 
     /** Creates an instance without observations. */
-    static create(graceMilliseconds: number): EngineGrace {
-        return new EngineGrace(graceMilliseconds);
+    static create(gracePeriodMilliseconds: number): EngineGrace {
+        return new EngineGrace(gracePeriodMilliseconds);
     }
 
     /**
@@ -63,7 +63,7 @@
         const observed = getNextState(this.observed.get(endpoint), state, gapMilliseconds);
         this.observed.set(endpoint, observed);
         const isServing = state === "serving";
-        const isGraceOver = observed.durationMilliseconds >= this.graceMilliseconds;
+        const isGraceOver = observed.durationMilliseconds >= this.gracePeriodMilliseconds;
         const isInUnreachableGrace = state === "unreachable" && !observed.wasLeaving && !isGraceOver;
         return {
             endpoint,
--- a/src/process/orders/loadPlanner.ts
+++ b/src/process/orders/loadPlanner.ts
@@ -11,7 +11,7 @@
 /** Options of a {@link LoadPlanner}. */
 interface LoadPlannerOptions {
     dispatcher: OrderDispatcherOptions;
-    ledger: LoadLedger;
+    loadTracker: LoadLedger;
     statuses: EngineStatuses;
     /** Gets the current state of the engines. */
     observe(): ObservedEngine[];
@@ -34,9 +34,9 @@
 
     /** Plans as many loads as the limits allow. Reads statuses of engines only if layers lack holders. */
     async plan(): Promise<PlannedLoad[]> {
-        const { dispatcher, ledger, observe } = this.options;
+        const { dispatcher, loadTracker, observe } = this.options;
         const { clock, getConfiguration, policy } = dispatcher;
-        const slots = ledger.getSlots(clock.getMonotonicTime());
+        const slots = loadTracker.getSlots(clock.getMonotonicTime());
         const shortages = this.countShortages(observe());
         if (slots === 0 || shortages === 0) {
             this.unplacedRanges = Math.min(this.unplacedRanges, shortages);
@@ -48,8 +48,8 @@
             configuration: getConfiguration(),
             engines,
             freePositions,
-            loads: ledger.getPending(),
-            excluded: ledger.getExcluded(clock.getMonotonicTime()),
+            loads: loadTracker.getPending(),
+            excluded: loadTracker.getExcluded(clock.getMonotonicTime()),
             slots,
             wantedHolders: policy.wantedHolders,
         });
@@ -58,15 +58,15 @@
     }
 
     private countShortages(engines: readonly ObservedEngine[]): number {
-        const { dispatcher, ledger } = this.options;
+        const { dispatcher, loadTracker } = this.options;
         const configuration = dispatcher.getConfiguration();
-        const coverage = LayerCoverage.create(configuration.models, engines, ledger.getPending());
+        const coverage = LayerCoverage.create(configuration.models, engines, loadTracker.getPending());
         return findShortages(configuration, coverage, dispatcher.policy.wantedHolders).length;
     }
 
     private async readFreePositions(): Promise<Map<string, number>> {
-        const { dispatcher, ledger, statuses, observe } = this.options;
-        const excluded = ledger.getExcluded(dispatcher.clock.getMonotonicTime());
+        const { dispatcher, loadTracker, statuses, observe } = this.options;
+        const excluded = loadTracker.getExcluded(dispatcher.clock.getMonotonicTime());
         const names: string[] = [];
         for (const { endpoint, isSteady } of observe()) {
             if (isSteady && !excluded.has(endpoint)) {
--- a/src/process/orders/orderTenure.ts
+++ b/src/process/orders/orderTenure.ts
@@ -22,7 +22,7 @@
     private readonly options: OrderDispatcherOptions;
     private readonly lease: FencedLease;
     private readonly grace: EngineGrace;
-    private readonly ledger: LoadLedger;
+    private readonly loadTracker: LoadLedger;
     private readonly record: LoadRecord;
     private readonly statuses: EngineStatuses;
     private readonly planner: LoadPlanner;
@@ -35,11 +35,16 @@
         this.options = options;
         this.lease = lease;
         this.grace = EngineGrace.create(options.policy.graceMilliseconds);
-        this.ledger = LoadLedger.create(options.policy);
+        this.loadTracker = LoadLedger.create(options.policy);
         this.record = LoadRecord.create(options.store);
         this.statuses = EngineStatuses.create(options.getStatus, options.random);
-        const { ledger, statuses } = this;
-        this.planner = LoadPlanner.create({ dispatcher: options, ledger, statuses, observe: () => this.observe() });
+        const { loadTracker, statuses } = this;
+        this.planner = LoadPlanner.create({
+            dispatcher: options,
+            loadTracker,
+            statuses,
+            observe: () => this.observe(),
+        });
     }
 
     /** Creates an instance. The lease must have been started. */
@@ -89,7 +94,7 @@
             return false;
         }
         if (this.restoredFencingNumber !== fencingNumber) {
-            this.ledger.adopt(loads.val, this.now());
+            this.loadTracker.adopt(loads.val, this.now());
             this.restoredFencingNumber = fencingNumber;
             this.isRecordStale = false;
         }
@@ -97,7 +102,7 @@
     }
 
     private settleLoads(engines: readonly ObservedEngine[]): void {
-        for (const { load, failure } of this.ledger.settle(engines, this.now())) {
+        for (const { load, failure } of this.loadTracker.settle(engines, this.now())) {
             const fields = getLogFields(load);
             this.isRecordStale = true;
             if (failure === undefined) {
@@ -114,7 +119,7 @@
      * marked to be sent again.
      */
     private async confirmLoads(): Promise<void> {
-        const loads = this.ledger.getPending().filter(load => load.isSent);
+        const loads = this.loadTracker.getPending().filter(load => load.isSent);
         const statuses = await this.statuses.read(loads.map(load => load.endpoint));
         const fencingNumber = this.lease.getFencingNumber();
         for (const load of loads) {
@@ -129,7 +134,7 @@
 
     private addLoads(loads: readonly PlannedLoad[]): void {
         if (loads.length > 0) {
-            this.ledger.add(loads, this.now());
+            this.loadTracker.add(loads, this.now());
             this.isRecordStale = true;
         }
     }
@@ -139,7 +144,7 @@
         if (!this.isRecordStale || this.lease.getFencingNumber() !== this.restoredFencingNumber) {
             return;
         }
-        const written = await this.record.write(this.ledger.getRecords());
+        const written = await this.record.write(this.loadTracker.getRecords());
         this.isRecordStale = written.err;
         if (written.err) {
             this.options.log.write(events.loadRecordFailed, { reason: written.val });
@@ -159,7 +164,7 @@
                 serving.add(endpoint);
             }
         }
-        const loads = this.ledger.getPending().filter(load => !load.isSent && serving.has(load.endpoint));
+        const loads = this.loadTracker.getPending().filter(load => !load.isSent && serving.has(load.endpoint));
         await Promise.all(loads.map(load => this.sendOrder(load)));
     }
 
@@ -178,7 +183,7 @@
         }
         load.isSent = answer.val === okStatus;
         if (!load.isSent) {
-            this.ledger.giveUp(load, this.now());
+            this.loadTracker.giveUp(load, this.now());
             this.isRecordStale = true;
             log.write(events.loadRefused, { ...getLogFields(load), status: answer.val });
         }
--- a/src/process/placement/endpointSettling.ts
+++ b/src/process/placement/endpointSettling.ts
@@ -10,7 +10,7 @@
  * Time without changes after which the endpoints count as complete. Endpoints register within about a second of each
  * other, and a plan made from half of them would leave the others unused.
  */
-const settleMilliseconds = 900;
+const stabilityMilliseconds = 900;
 
 /**
  * Tracks if the set of endpoints of a service has once been unchanged for long enough to plan from it or to move an
@@ -18,29 +18,29 @@
  */
 export class EndpointSettling {
     private readonly snapshots = new Map<string, EndpointSnapshot>();
-    /** Services whose endpoints have settled. They stay settled, so later losses are handled immediately. */
-    private readonly settled = new Set<string>();
+    /** Services whose endpoints have become stable. They stay in the set, so later losses are handled immediately. */
+    private readonly stableServices = new Set<string>();
 
     private constructor() {}
 
-    /** Creates an instance in which no service has settled. */
+    /** Creates an instance in which no service has stable endpoints. */
     static create(): EndpointSettling {
         return new EndpointSettling();
     }
 
-    /** Waits for the endpoints of each service to settle again. */
+    /** Waits again for the endpoints of each service to become stable. */
     restart(): void {
-        this.settled.clear();
+        this.stableServices.clear();
     }
 
     /**
-     * Records the endpoints of a service and gets if they have settled.
+     * Records the endpoints of a service and gets if they are stable.
      * @param service - Name of the service.
      * @param endpoints - Endpoints that are not draining.
      * @param now - Monotonic time in milliseconds.
      */
     note(service: string, endpoints: readonly { id: string; }[], now: number): boolean {
-        if (this.settled.has(service)) {
+        if (this.stableServices.has(service)) {
             return true;
         }
         const signature = endpoints.map(({ id }) => id).join();
@@ -49,10 +49,10 @@
             this.snapshots.set(service, { signature, since: now });
             return false;
         }
-        if (now - snapshot.since < settleMilliseconds) {
+        if (now - snapshot.since < stabilityMilliseconds) {
             return false;
         }
-        this.settled.add(service);
+        this.stableServices.add(service);
         return true;
     }
 }
--- a/src/process/placement/placementDuty.ts
+++ b/src/process/placement/placementDuty.ts
@@ -153,16 +153,16 @@
             return false;
         }
         const now = this.options.clock.getMonotonicTime();
-        const isSettled = this.settling.note(service, endpoints, now);
+        const isStable = this.settling.note(service, endpoints, now);
         const columns = this.plans.get(service);
         if (columns === undefined) {
             const canOrder = fencingNumber !== undefined;
-            void this.ensurePlan(service, model, endpoints, { isSettled, canOrder });
+            void this.ensurePlan(service, model, endpoints, { isStable, canOrder });
             return true;
         }
         this.orders.close(endpoints);
         const snapshots = this.createPlacementEndpoints(endpoints, now);
-        const assignments = this.getDueOrders(service, model, columns, snapshots, isSettled);
+        const assignments = this.getDueOrders(service, model, columns, snapshots, isStable);
         const isWorkDue = assignments.length > 0 || this.orders.isAnyOpen();
         if (fencingNumber === undefined) {
             return isWorkDue;
@@ -194,18 +194,18 @@
         service: string,
         model: EngineModel,
         endpoints: readonly RegisteredEndpoint[],
-        { isSettled, canOrder }: { isSettled: boolean; canOrder: boolean; },
+        { isStable, canOrder }: { isStable: boolean; canOrder: boolean; },
     ): Promise<void> {
         const now = this.options.clock.getMonotonicTime();
         const isDue = canOrder
-            ? isSettled || !this.servicesReadFromStore.has(service)
-            : isSettled && now - (this.lastPlanAttemptAt.get(service) ?? -Infinity) > candidateRetryMilliseconds;
+            ? isStable || !this.servicesReadFromStore.has(service)
+            : isStable && now - (this.lastPlanAttemptAt.get(service) ?? -Infinity) > candidateRetryMilliseconds;
         if (!isDue) {
             return;
         }
         this.lastPlanAttemptAt.set(service, now);
         this.isPlanning = true;
-        await this.loadPlan(service, model, endpoints, isSettled && canOrder);
+        await this.loadPlan(service, model, endpoints, isStable && canOrder);
         this.isPlanning = false;
     }
 
@@ -218,7 +218,7 @@
         model: EngineModel,
         columns: readonly LayerColumn[],
         endpoints: readonly PlacementEndpoint[],
-        isSettled: boolean,
+        isStable: boolean,
     ): LayerAssignment[] {
         const now = this.options.clock.getMonotonicTime();
         const { assignments, move } = this.options.runLong(
@@ -227,7 +227,7 @@
         );
         const dueMove = this.dueMoves.get(service);
         // A new lease holder may not know all endpoints yet, and a needless move takes a replica from another column.
-        if (move === undefined || !isSettled) {
+        if (move === undefined || !isStable) {
             this.dueMoves.delete(service);
             return assignments;
         }
--- a/tests/process/placement/placementDuty.test.ts
+++ b/tests/process/placement/placementDuty.test.ts
@@ -67,7 +67,7 @@
         assert.equal(orders[0]!.order.fencingNumber, 2);
     });
 
-    it("creates a new plan only after the endpoints have settled", async () => {
+    it("creates a new plan only after the set of endpoints is stable", async () => {
         const others = Array.from({ length: 8 }, (_, index) => createMiddle(`other-${index}`));
         endpoints = [...others.slice(0, 4).map(endpoint => ({ ...endpoint, kind: "fast" })), ...others.slice(4)];
         start(1);
@@ -77,7 +77,7 @@
         assert.notEqual(await store.get(planKey).then(stored => stored.unwrap()), undefined);
     });
 
-    it("moves no endpoint between columns before the endpoints have settled", async () => {
+    it("moves no endpoint between columns before the set of endpoints is stable", async () => {
         await storePlan();
         endpoints = [createMiddle("x", second), createMiddle("w", second)];
         start(2);
