--- a/src/process/orders/loadPlanner.ts
+++ b/src/process/orders/loadPlanner.ts
@@ -20,14 +20,13 @@
 /** Plans loads from the current statuses of engines. */
 export class LoadPlanner {
     private readonly options: LoadPlannerOptions;
-    /** Number of ranges that no engine could load, as last logged or since decreased. */
+    /** Number of ranges that no engine can load, as of the last plan. Kept so that only increases are logged. */
     private unplacedRanges = 0;
 
     private constructor(options: LoadPlannerOptions) {
         this.options = options;
     }
 
-    /** Creates a planner. */
     static create(options: LoadPlannerOptions): LoadPlanner {
         return new LoadPlanner(options);
     }
--- a/src/process/orders/loadTargets.ts
+++ b/src/process/orders/loadTargets.ts
@@ -5,7 +5,7 @@
 import type { ObservedEngine } from "./observedEngine.ts";
 import type { RangeShortage } from "./rangeShortage.ts";
 
-/** Settings of {@link LoadTargets}. */
+/** Options of {@link LoadTargets}. */
 interface LoadTargetsOptions {
     configuration: Configuration;
     engines: readonly ObservedEngine[];
@@ -78,8 +78,7 @@
         const presentLayers = layers.reduce((sum, range) => sum + range.end - range.start, 0);
         const positionsAfterLoad = Math.max(0, availablePositions) * Math.max(1, presentLayers)
             / (presentLayers + addedLayers);
-        // Without a holder for each layer a model can't serve, so a range without one may go to an engine with little
-        // memory.
+        // A model can't serve without a holder for each layer, so a range without holders ignores the required memory.
         if (shortage.holders > 0 && positionsAfterLoad < configuration.limits.maximumTokens) {
             return undefined;
         }
--- a/src/process/orders/orderPolicy.ts
+++ b/src/process/orders/orderPolicy.ts
@@ -4,7 +4,7 @@
     wantedHolders: number;
     /**
      * Time for which an unreachable engine still counts as a holder, and for which a recovered engine is given no load,
-     * in milliseconds. Prevents short freezes from causing loads.
+     * in milliseconds. Prevents short freezes of engines from causing loads.
      */
     graceMilliseconds: number;
     /** Most loads in progress at the same time. The weight store is rate-limited. */
--- a/src/process/orders/planOrders.ts
+++ b/src/process/orders/planOrders.ts
@@ -29,7 +29,7 @@
 export function planOrders(options: PlanOptions): PlannedLoad[] {
     const { configuration, engines, freePositions, loads, slots, wantedHolders } = options;
     const coverage = LayerCoverage.create(configuration.models, engines, loads);
-    const targets = LoadTargets.create({ configuration, engines, coverage, freePositions });
+    const targetSelector = LoadTargets.create({ configuration, engines, coverage, freePositions });
     const excluded = new Set(options.excluded);
     for (const { endpoint } of loads) {
         excluded.add(endpoint);
@@ -39,7 +39,7 @@
         if (planned.length >= slots) {
             break;
         }
-        const endpoint = targets.choose(shortage, excluded);
+        const endpoint = targetSelector.choose(shortage, excluded);
         if (endpoint !== undefined) {
             planned.push({ endpoint, range: shortage.range });
             excluded.add(endpoint);
--- a/src/process/placement/placementDuty.ts
+++ b/src/process/placement/placementDuty.ts
@@ -161,15 +161,15 @@
             return true;
         }
         this.orders.close(endpoints);
-        const snapshots = this.createPlacementEndpoints(endpoints, now);
-        const assignments = this.getDueOrders(service, model, columns, snapshots, isStable);
+        const states = this.createPlacementEndpoints(endpoints, now);
+        const assignments = this.getDueOrders(service, model, columns, states, isStable);
         const isWorkDue = assignments.length > 0 || this.orders.isAnyOpen();
         if (fencingNumber === undefined) {
             return isWorkDue;
         }
         const { loadsAtOnce } = model;
         const loading = this.orders.countLoading();
-        for (const assignment of chooseLoads({ columns, endpoints: snapshots, assignments, loading, loadsAtOnce })) {
+        for (const assignment of chooseLoads({ columns, endpoints: states, assignments, loading, loadsAtOnce })) {
             const endpoint = endpoints.find(({ id }) => id === assignment.endpointId);
             if (endpoint !== undefined) {
                 void this.orders.send(model, endpoint, assignment.layers, fencingNumber);
--- a/tests/process/placement/placementDuty.test.ts
+++ b/tests/process/placement/placementDuty.test.ts
@@ -32,7 +32,7 @@
     });
 
     function start(fencingNumber: number): PlacementDuty {
-        const duty = PlacementDuty.create({
+        const controller = PlacementDuty.create({
             store,
             lease: { getFencingNumber: () => fencingNumber, getLastNumber: () => fencingNumber },
             isStoreAnswering: () => true,
@@ -49,8 +49,8 @@
             },
             fetchReport: async () => undefined,
         });
-        duty.start();
-        return duty;
+        controller.start();
+        return controller;
     }
 
     async function storePlan(): Promise<void> {
