--- a/src/process/claims/checkClaimKey.ts
+++ b/src/process/claims/checkClaimKey.ts
@@ -4,10 +4,10 @@
 import { getIssueTime } from "./getIssueTime.ts";
 
 /**
- * Checks that a key may be claimed now. Returns its issue time in milliseconds since the Unix epoch.
- * @param key - Key with its customer, see `createClaimKey`.
+ * Checks that a key may be claimed now. Gets its issue time in milliseconds since the Unix epoch.
+ * @param key - Claim key, see `createClaimKey`.
  * @param wallTime - Wall-clock time in milliseconds since the Unix epoch.
- * @param windowMilliseconds - How long a key counts after its issue time.
+ * @param windowMilliseconds - How long a key is valid after its issue time.
  */
 export function checkClaimKey(
     key: string,
@@ -32,7 +32,7 @@
         return Err({
             kind: ClaimKeyErrorKind.InFuture,
             message: `The idempotency key was issued ${issuedAt - wallTime} ms in the future.`
-                + " Set the clock of the machine that issued it, then send the request with a new key.",
+                + " Correct the clock of the machine that issued it, then send the request with a new key.",
         });
     }
     return Ok(issuedAt);
--- a/src/process/claims/claimBatch.ts
+++ b/src/process/claims/claimBatch.ts
@@ -1,16 +1,16 @@
 import type { Claim } from "./claim.ts";
 
-/** The content of one slot: the claims that one append wrote. */
+/** Contents of one slot: the claims written by one append. */
 export interface ClaimBatch {
-    /** Position in the shard's log, from 0 without gaps; the slot is its remainder by the ring's size. */
+    /** Position in the shard's log, from 0 without gaps. The slot index is this number modulo the ring size. */
     number: number;
-    /** Names the owner's process and its append; for those who read the log. */
+    /** Owner id and sequence number of the append. */
     batchId: string;
-    /** Wall-clock time of the append, in milliseconds since the Unix epoch; for those who read the log. */
+    /** Wall-clock time of the append, in milliseconds since the Unix epoch. For diagnosis only. */
     writtenAt: number;
     /**
-     * Latest issue time of any claim that was ever overwritten in this shard, this append's own overwriting
-     * included; -1 where none. A key issued no later may have been claimed and is never granted again.
+     * Latest issue time of all claims that were ever overwritten in this shard, including those overwritten by this
+     * append; -1 if there are none. A key issued at or before it may have been claimed, so it is never granted.
      */
     horizon: number;
     claims: readonly Claim[];
--- a/src/process/claims/claimOwner.ts
+++ b/src/process/claims/claimOwner.ts
@@ -12,35 +12,35 @@
 
 const defaultPageSize = 500;
 
-/** Settings of a {@link ClaimOwner}. */
+/** Options of a {@link ClaimOwner}. */
 export interface ClaimOwnerOptions {
     store: PlatformStore;
     clock: Clock;
     log: EventLog;
-    /** Unique per start of a process, such as a random UUID. */
+    /** Unique per process start, such as a random UUID. */
     ownerId: string;
     /** Number of shards; the same on all nodes. */
     shards: number;
     /** Gets the shard of a key, see `ShardHash`. */
     getShardOfKey(key: string, shards: number): number;
-    /** How long a key counts after its issue time, in milliseconds; the same on all nodes. */
+    /** How long a key is valid after its issue time, in milliseconds; the same on all nodes. */
     windowMilliseconds: number;
-    /** Shortest time between two appends of one shard, in milliseconds; the same on all nodes. */
+    /** Shortest time between two appends to a shard, in milliseconds; the same on all nodes. */
     appendIntervalMilliseconds: number;
-    /** Longest wait of a claim for its verdict, in milliseconds. */
+    /** Longest time that a claim waits for its verdict, in milliseconds. */
     giveUpMilliseconds: number;
-    /** Slots of a shard's ring; worked out from the window and the append interval where undefined. */
+    /** Slots of a shard's ring. Computed from the window and the append interval by default. */
     ringSize?: number;
-    /** Slots that one call reads, 500 where undefined; their values together have to fit an answer. */
+    /** Slots read by one store call. Default 500. Their values must fit into one response. */
     pageSize?: number;
-    /** Check of the grants; the process's own where undefined. */
+    /** Ledger that checks the grants. Each owner creates its own by default. */
     grants?: GrantLedger;
 }
 
 /**
- * Claims idempotency keys in the claim log, so that a request that may not be repeated runs at most once over
- * all nodes. It is meant for the node that owns a shard; that another node does the same at the same time costs
- * speed only. Store calls have to end by themselves: a platform adapter needs a timeout.
+ * Claims idempotency keys in the claim log, so that a request that must not be repeated runs at most once across all
+ * nodes. Only the node that owns a shard should use it. Two owners at the same time are safe but slower.
+ * Store calls must end by themselves, so a platform adapter needs a timeout.
  */
 export class ClaimOwner {
     private readonly options: ClaimOwnerOptions;
@@ -54,28 +54,28 @@
         this.grants = options.grants ?? GrantLedger.create({ rememberMilliseconds });
     }
 
-    /** Creates an owner that has read no shard yet. */
+    /** Creates an owner that has not read any shard yet. */
     static create(options: ClaimOwnerOptions): ClaimOwner {
         return new ClaimOwner(options);
     }
 
-    /** Reads a shard that this node has come to own, before the first claim for it arrives. */
+    /** Reads a shard that this node has started to own, before its first claim arrives. */
     loadShard(shard: number): void {
         this.getRunner(shard).load();
     }
 
-    /** Reads a shard, or reads on where it was read before: other owners may have appended meanwhile. */
+    /** Reads a shard, or only its new slots if it was read before. Other owners may have appended in the meantime. */
     refreshShard(shard: number): void {
         this.getRunner(shard).refresh();
     }
 
-    /** Forgets a shard that this node does not own any more. */
+    /** Discards the state of a shard that this node no longer owns. */
     releaseShard(shard: number): void {
         this.runners.get(shard)?.close();
         this.runners.delete(shard);
     }
 
-    /** Forgets all shards. */
+    /** Releases all shards. */
     close(): void {
         for (const shard of [...this.runners.keys()]) {
             this.releaseShard(shard);
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Claims keys; one verdict each, in the order of the items. Rejects with an `InvariantError` where a
-     * check of this program failed: no claim of the call is granted then.
+     * Claims keys. Gets one verdict per item, in the same order. Rejects with an `InvariantError` if an internal check
+     * fails, in which case no claim of the call is granted.
      * @param shard - Shard of all the keys.
      * @param items - Claims to decide.
      */
@@ -98,16 +98,16 @@
             return Promise.resolve({
                 outcome: ClaimOutcome.NotOwner,
                 message: `The key does not belong to shard ${shard} of ${shards}.`
-                    + " Wait until both nodes have the same configuration in force, then ask the owner again.",
+                    + " Wait until both nodes use the same configuration, then ask the owner again.",
             });
         }
         return this.getRunner(shard).claim(item);
     }
 
     private getRunner(shard: number): ClaimShardRunner {
-        const known = this.runners.get(shard);
-        if (known !== undefined && !known.hasEnded()) {
-            return known;
+        const existing = this.runners.get(shard);
+        if (existing !== undefined && !existing.hasEnded()) {
+            return existing;
         }
         const runner = this.createRunner(shard);
         this.runners.set(shard, runner);
--- a/src/process/claims/claimRing.ts
+++ b/src/process/claims/claimRing.ts
@@ -5,41 +5,41 @@
 import { claimTimes } from "./claimTimes.ts";
 import { getIssueTime } from "./getIssueTime.ts";
 
-/** Settings of a {@link ClaimRing}. */
+/** Options of a {@link ClaimRing}. */
 export interface ClaimRingOptions {
     /** Number of slots. */
     size: number;
-    /** How long a key counts after its issue time, in milliseconds. */
+    /** How long a key is valid after its issue time, in milliseconds. */
     windowMilliseconds: number;
 }
 
 interface Slot {
     revision: number;
     number: number;
-    /** Latest issue time of the slot's claims; -1 where it has none. */
+    /** Latest issue time of the slot's claims; -1 if it has none. */
     latestIssue: number;
     /** Keys of the slot's claims that are still in memory. */
     keys: readonly string[];
 }
 
-/** What this process knows of a shard's ring: each slot's revision, and the claims that count. No I/O. */
+/** In-memory copy of a shard's ring: the revision of each slot and the claims that have not expired. Does no I/O. */
 export class ClaimRing {
     private readonly size: number;
-    private readonly keptMilliseconds: number;
+    private readonly retentionMilliseconds: number;
     private readonly slots: (Slot | undefined)[] = [];
     private readonly claims = new Map<string, Claim>();
     private tail = -1;
-    /** Highest number whose claims were dropped from memory, with all below. */
+    /** All batches up to this number have been dropped from memory. */
     private droppedThrough = -1;
     private logHorizon = -1;
     private memoryHorizon = -1;
 
     private constructor(options: ClaimRingOptions) {
         this.size = options.size;
-        this.keptMilliseconds = options.windowMilliseconds + claimTimes.clockMarginMilliseconds;
+        this.retentionMilliseconds = options.windowMilliseconds + claimTimes.clockMarginMilliseconds;
     }
 
-    /** Creates a ring of which nothing is known yet. */
+    /** Creates a ring without any known slots. */
     static create(options: ClaimRingOptions): ClaimRing {
         return new ClaimRing(options);
     }
@@ -49,7 +49,7 @@
         return this.claims.get(key);
     }
 
-    /** Gets how many claims are in memory. */
+    /** Gets the number of claims in memory. */
     getClaimCount(): number {
         return this.claims.size;
     }
@@ -64,33 +64,33 @@
         return this.getNextNumber() % this.size;
     }
 
-    /** Gets the revision that the next append's slot was last seen with; 0 where it was absent. */
+    /** Gets the last seen revision of the next append's slot; 0 if the slot was absent. */
     getNextRevision(): number {
         return this.slots[this.getNextSlot()]?.revision ?? 0;
     }
 
-    /** Gets the horizon that the next append has to carry: what it overwrites is included. */
+    /** Gets the horizon for the next append, which includes the claims that it overwrites. */
     getNextHorizon(): number {
         return Math.max(this.logHorizon, this.slots[this.getNextSlot()]?.latestIssue ?? -1);
     }
 
-    /** Whether the next append's slot holds no claim that may still count. */
+    /** Gets if all claims in the next append's slot have expired. */
     isNextSlotFree(wallTime: number): boolean {
         const slot = this.slots[this.getNextSlot()];
-        return slot === undefined || this.isPast(slot, wallTime);
+        return slot === undefined || this.isExpired(slot, wallTime);
     }
 
-    /** Whether a key that is not in memory may have been claimed and forgotten, or would be by the next append. */
+    /** Gets if a key that is not in memory may belong to a claim that was dropped, or that the next append overwrites. */
     isForgotten(issuedAt: number): boolean {
         return issuedAt <= Math.max(this.memoryHorizon, this.getNextHorizon());
     }
 
     /**
-     * Takes in what stands in a slot; older content than known is ignored.
-     * The error says why the content does not fit; it is not taken in.
+     * Applies the contents of a slot, unless a newer revision is already known.
+     * Returns an error with the reason if the contents are inconsistent; they are not applied then.
      * @param slot - Index of the slot.
-     * @param revision - Revision of the slot's key.
-     * @param batch - Content of the slot.
+     * @param revision - Revision of the slot's key in the store.
+     * @param batch - Contents of the slot.
      */
     learn(slot: number, revision: number, batch: ClaimBatch): Result<void, string> {
         const known = this.slots[slot];
@@ -99,14 +99,14 @@
         }
         if (slot >= this.size || batch.number % this.size !== slot) {
             return Err(
-                `The slot ${slot} holds number ${batch.number}, which does not belong there in a ring of`
-                    + ` ${this.size}. Set the configuration's claims back to the numbers that the log was written with.`,
+                `Slot ${slot} holds batch ${batch.number}, which does not belong there in a ring of`
+                    + ` ${this.size} slots. Restore the claim settings that the log was written with in the configuration.`,
             );
         }
         if (known !== undefined && batch.number <= known.number) {
             return Err(
-                `The slot ${slot} went back from number ${known.number} to ${batch.number}.`
-                    + " The service has lost writes; wait for the window before taking claims for this shard again.",
+                `Slot ${slot} went back from batch ${known.number} to batch ${batch.number}.`
+                    + " The store has lost writes. Wait until the window has passed before this shard accepts claims again.",
             );
         }
         this.drop(known);
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Finds a slot whose content is older than the tail says: an append that happened during the reading
-     * was missed. Undefined where all numbers up to the tail are known.
+     * Finds a slot that misses a batch before the tail because it was appended while the ring was being read.
+     * Returns undefined if all batches up to the tail are known.
      */
     findGap(): number | undefined {
         for (let number = Math.max(0, this.tail - this.size + 1); number <= this.tail; number++) {
@@ -130,15 +130,14 @@
     }
 
     /**
-     * Drops the claims that are past the window from memory. Their keys are refused from then on, also
-     * where the wall clock steps back.
+     * Drops expired claims from memory. Their keys are refused from then on, even if the wall clock steps back.
      * @param wallTime - Wall-clock time in milliseconds since the Unix epoch.
      */
     dropPast(wallTime: number): void {
         const oldest = Math.max(0, this.tail - this.size + 1);
         for (let number = Math.max(oldest, this.droppedThrough + 1); number <= this.tail; number++) {
             const slot = this.slots[number % this.size];
-            if (slot === undefined || slot.number !== number || !this.isPast(slot, wallTime)) {
+            if (slot === undefined || slot.number !== number || !this.isExpired(slot, wallTime)) {
                 return;
             }
             this.drop(slot);
@@ -147,8 +146,8 @@
         }
     }
 
-    private isPast(slot: Slot, wallTime: number): boolean {
-        return slot.latestIssue < 0 || wallTime - slot.latestIssue > this.keptMilliseconds;
+    private isExpired(slot: Slot, wallTime: number): boolean {
+        return slot.latestIssue < 0 || wallTime - slot.latestIssue > this.retentionMilliseconds;
     }
 
     private add(revision: number, batch: ClaimBatch): Slot {
@@ -159,7 +158,7 @@
             if (earlier !== undefined && earlier.claimant !== claim.claimant) {
                 throw InvariantError.create(
                     "onceClaimed",
-                    `The log holds the key ${claim.key} for ${earlier.claimant} and for ${claim.claimant}.`,
+                    `The claim log holds key ${claim.key} for both ${earlier.claimant} and ${claim.claimant}.`,
                 );
             }
             latestIssue = Math.max(latestIssue, getIssueTime(claim.key) ?? -1);
--- a/src/process/claims/claimShard.ts
+++ b/src/process/claims/claimShard.ts
@@ -17,41 +17,43 @@
 import { takeBatchClaims } from "./takeBatchClaims.ts";
 import { WaitingClaims } from "./waitingClaims.ts";
 
-/** Wait before a failed call is repeated, in milliseconds. */
-const retryMilliseconds = 100;
+/** Delay before a failed call is retried. */
+const retryDelayMilliseconds = 100;
 
 /**
- * The decisions about one shard of the claim log, without I/O and clock reads: each method is one event and
- * returns what to do. A claim waits until the ring, as read from the service, holds its key: for the same
- * claimant it is granted then, for another taken. An append writes the waiting claims to the next slot, if the
- * slot still has the revision that was last seen there. Whatever then stands in the slot is taken in, whoever
- * wrote it; so a lost answer needs no rule of its own. Appends whose outcome is unknown compare with the same
- * revision as their repetition: at most one of them ever takes effect, however late they arrive.
+ * State machine of one shard of the claim log. It does no I/O and reads no clock: each method handles one event and
+ * returns the actions to take.
+ *
+ * A claim waits until the ring, as read from the store, holds its key. If the stored claimant is the same, the claim is
+ * granted, otherwise the key is taken. An append writes the waiting claims to the next slot by compare-and-swap with the
+ * slot's last seen revision. The slot's contents after that are applied, whoever wrote them, so a lost response needs no
+ * special handling. An append with an unknown outcome and its retries compare with the same revision, so at most one of
+ * them takes effect, however late it arrives.
  */
 export class ClaimShard {
     private readonly options: ClaimShardOptions;
     private readonly ring: ClaimRing;
-    private readonly reading: RingReading;
-    private readonly intake: SlotIntake;
+    private readonly cursor: RingReading;
+    private readonly slotApplier: SlotIntake;
     private readonly waiting: WaitingClaims;
-    /** The append that is under way. */
-    private sent: ClaimBatch | undefined;
-    /** Claims of earlier appends to the next slot whose outcome is unknown, by key. */
-    private readonly uncertain = new Map<string, Claim>();
+    /** Batch of the append in flight. */
+    private inFlightBatch: ClaimBatch | undefined;
+    /** Claims of earlier appends to the next slot with an unknown outcome, by key. */
+    private readonly unconfirmed = new Map<string, Claim>();
     private isCalling = false;
-    private isLoadWanted = false;
-    private repeatAt = -Infinity;
+    private isLoadRequested = false;
+    private retryAt = -Infinity;
     private appendAt = -Infinity;
-    private batches = 0;
+    private batchCount = 0;
     private output: ShardOutput = { verdicts: [], logs: [] };
 
     private constructor(options: ClaimShardOptions) {
         this.options = options;
         this.ring = ClaimRing.create({ size: options.ringSize, windowMilliseconds: options.windowMilliseconds });
-        this.reading = RingReading.create(this.ring, slot => claimStoreKeys.getSlotKey(options.shard, slot));
-        this.intake = SlotIntake.create({
+        this.cursor = RingReading.create(this.ring, slot => claimStoreKeys.getSlotKey(options.shard, slot));
+        this.slotApplier = SlotIntake.create({
             ring: this.ring,
-            reading: this.reading,
+            reading: this.cursor,
             ownerId: options.ownerId,
             ringSize: options.ringSize,
             log: (event, fields) => this.log(event, fields),
@@ -59,42 +61,43 @@
         this.waiting = WaitingClaims.create({
             decide: (claim, wallTime) => this.decide(claim, wallTime),
             isReady: () => this.isReady(),
-            findPossible: key => this.uncertain.get(key) ?? this.sent?.claims.find(claim => claim.key === key),
+            findPossible: key =>
+                this.unconfirmed.get(key) ?? this.inFlightBatch?.claims.find(claim => claim.key === key),
         });
     }
 
-    /** Creates a shard of which nothing has been read yet. */
+    /** Creates a shard that has not been read yet. */
     static create(options: ClaimShardOptions): ClaimShard {
         return new ClaimShard(options);
     }
 
-    /** Gets how many claims are in memory. */
+    /** Gets the number of claims in memory. */
     getClaimCount(): number {
         return this.ring.getClaimCount();
     }
 
-    /** Whether the ring has been read up to its tail. */
+    /** Gets if the ring has been read up to its tail. */
     isReady(): boolean {
-        return this.reading.getKey() === undefined;
+        return this.cursor.getKey() === undefined;
     }
 
-    /** Reads the ring before the first claim comes. */
+    /** Starts reading the ring before the first claim arrives. */
     load(time: EventTime): ShardOutput {
-        this.isLoadWanted = true;
+        this.isLoadRequested = true;
         return this.step(time);
     }
 
-    /** Reads on from the tail. Until that is done, what other owners have appended may be unknown here. */
+    /** Starts reading from the tail. Until that is done, appends of other owners may be unknown. */
     refresh(time: EventTime): ShardOutput {
         if (this.isReady()) {
-            this.reading.readFromTail();
+            this.cursor.readFromTail();
         }
         return this.load(time);
     }
 
     /**
-     * Takes a claim.
-     * @param ticket - Number under which the verdict is given.
+     * Adds a claim.
+     * @param ticket - Number that identifies the claim in the output.
      * @param claim - Claim to decide.
      * @param time - Time of the event.
      */
@@ -103,68 +106,68 @@
         return this.step(time);
     }
 
-    /** Goes on when the time that the last output named has come. */
+    /** Continues once the `wakeAt` time of the last output has been reached. */
     wake(time: EventTime): ShardOutput {
         return this.step(time);
     }
 
-    /** Takes the result of a read. */
+    /** Handles the result of a read. */
     finishRead(result: Result<StoredPage, PlatformError>, time: EventTime): ShardOutput {
         this.isCalling = false;
         if (result.err) {
-            this.repeatLater(result.val, time);
+            this.scheduleRetry(result.val, time);
             return this.step(time);
         }
-        if (!this.intake.learnPage(result.val)) {
-            this.repeatAt = time.monotonic + retryMilliseconds;
+        if (!this.slotApplier.learnPage(result.val)) {
+            this.retryAt = time.monotonic + retryDelayMilliseconds;
         }
         if (this.isReady()) {
-            this.isLoadWanted = false;
+            this.isLoadRequested = false;
             this.log(events.claimShardLoaded, { claims: this.ring.getClaimCount(), next: this.ring.getNextNumber() });
         }
         this.waiting.answerDecided(time);
         return this.step(time);
     }
 
-    /** Takes the result of an append. */
+    /** Handles the result of an append. */
     finishSwap(result: Result<SwapOutcome, PlatformError>, time: EventTime): ShardOutput {
-        const sent = this.sent;
+        const sent = this.inFlightBatch;
         this.isCalling = false;
-        this.sent = undefined;
+        this.inFlightBatch = undefined;
         if (result.err) {
             if (sent !== undefined && result.val.kind === PlatformErrorKind.OutcomeUnknown) {
-                this.keepUncertain(sent);
+                this.addUnconfirmed(sent);
             }
-            this.repeatLater(result.val, time);
+            this.scheduleRetry(result.val, time);
         }
         else if (sent !== undefined) {
-            this.settleAppend(result.val, sent, time);
+            this.applyAppendOutcome(result.val, sent, time);
         }
         return this.step(time);
     }
 
-    private settleAppend(outcome: SwapOutcome, sent: ClaimBatch, time: EventTime): void {
-        this.intake.learnSwap(outcome, sent);
+    private applyAppendOutcome(outcome: SwapOutcome, sent: ClaimBatch, time: EventTime): void {
+        this.slotApplier.learnSwap(outcome, sent);
         if (this.ring.getNextNumber() <= sent.number) {
-            this.keepUncertain(sent);
-            this.repeatAt = time.monotonic + retryMilliseconds;
+            this.addUnconfirmed(sent);
+            this.retryAt = time.monotonic + retryDelayMilliseconds;
             return;
         }
-        this.uncertain.clear();
+        this.unconfirmed.clear();
         this.waiting.answerDecided(time);
     }
 
-    private keepUncertain(batch: ClaimBatch): void {
+    private addUnconfirmed(batch: ClaimBatch): void {
         this.log(events.claimOutcomeUnknown, { number: batch.number, batchId: batch.batchId });
         for (const claim of batch.claims) {
-            if (!this.uncertain.has(claim.key)) {
-                this.uncertain.set(claim.key, claim);
+            if (!this.unconfirmed.has(claim.key)) {
+                this.unconfirmed.set(claim.key, claim);
             }
         }
     }
 
-    private repeatLater(error: PlatformError, time: EventTime): void {
-        this.repeatAt = time.monotonic + retryMilliseconds;
+    private scheduleRetry(error: PlatformError, time: EventTime): void {
+        this.retryAt = time.monotonic + retryDelayMilliseconds;
         this.log(events.claimStoreFailed, { kind: error.kind, reason: error.message });
     }
 
@@ -176,7 +179,7 @@
     private step(time: EventTime): ShardOutput {
         this.ring.dropPast(time.wall);
         this.waiting.giveUp(time);
-        if (!this.isCalling && this.isCallWanted() && time.monotonic >= this.getCallTime()) {
+        if (!this.isCalling && this.isCallNeeded() && time.monotonic >= this.getCallTime()) {
             this.startCall(time);
         }
         const output = { ...this.output, verdicts: this.waiting.takeVerdicts(), wakeAt: this.getWakeTime() };
@@ -185,7 +188,7 @@
     }
 
     private startCall(time: EventTime): void {
-        const fromKey = this.reading.getKey();
+        const fromKey = this.cursor.getKey();
         if (fromKey === undefined) {
             this.append(time);
             return;
@@ -199,15 +202,18 @@
         this.waiting.answerDecided(time);
         if (!this.ring.isNextSlotFree(time.wall)) {
             this.log(events.claimRingFull, { waiting: this.waiting.getEntries().length });
-            this.waiting.refuseAll("The claim log has no free slot. Widen its append interval, or try later.", time);
+            this.waiting.refuseAll(
+                "The claim log has no free slot. Increase its append interval or try again later.",
+                time,
+            );
         }
         if (this.waiting.getEntries().length === 0) {
             return;
         }
-        this.batches += 1;
-        this.sent = {
+        this.batchCount += 1;
+        this.inFlightBatch = {
             number: this.ring.getNextNumber(),
-            batchId: `${this.options.ownerId}-${this.batches}`,
+            batchId: `${this.options.ownerId}-${this.batchCount}`,
             writtenAt: time.wall,
             horizon: this.ring.getNextHorizon(),
             claims: takeBatchClaims(this.waiting.getEntries()),
@@ -218,21 +224,21 @@
             kind: "swap",
             key: claimStoreKeys.getSlotKey(this.options.shard, this.ring.getNextSlot()),
             expectedRevision: this.ring.getNextRevision(),
-            value: JSON.stringify(this.sent),
+            value: JSON.stringify(this.inFlightBatch),
         };
     }
 
-    private isCallWanted(): boolean {
-        return this.waiting.getEntries().length > 0 || (this.isLoadWanted && !this.isReady());
+    private isCallNeeded(): boolean {
+        return this.waiting.getEntries().length > 0 || (this.isLoadRequested && !this.isReady());
     }
 
     private getCallTime(): number {
-        return this.isReady() ? Math.max(this.repeatAt, this.appendAt) : this.repeatAt;
+        return this.isReady() ? Math.max(this.retryAt, this.appendAt) : this.retryAt;
     }
 
     private getWakeTime(): number | undefined {
         const deadline = this.waiting.getEntries()[0]?.deadline ?? Infinity;
-        const callTime = !this.isCalling && this.isCallWanted() ? this.getCallTime() : Infinity;
+        const callTime = !this.isCalling && this.isCallNeeded() ? this.getCallTime() : Infinity;
         const wakeAt = Math.min(deadline, callTime);
         return wakeAt === Infinity ? undefined : wakeAt;
     }
--- a/src/process/claims/claimShardOptions.ts
+++ b/src/process/claims/claimShardOptions.ts
@@ -1,17 +1,17 @@
-/** Settings of a claim shard. */
+/** Options of a claim shard. */
 export interface ClaimShardOptions {
     /** Number of the shard. */
     shard: number;
-    /** Unique per start of a process, such as a random UUID; batches are named after it. */
+    /** Unique per process start, such as a random UUID. It is part of the batch ids. */
     ownerId: string;
-    /** Number of slots of the ring; the same on all nodes. */
+    /** Number of slots in the ring; the same on all nodes. */
     ringSize: number;
-    /** How long a key counts after its issue time, in milliseconds. */
+    /** How long a key is valid after its issue time, in milliseconds. */
     windowMilliseconds: number;
     /** Shortest time between two appends, in milliseconds. */
     appendIntervalMilliseconds: number;
-    /** Longest wait of a claim for its verdict, in milliseconds. */
+    /** Longest time that a claim waits for its verdict, in milliseconds. */
     giveUpMilliseconds: number;
-    /** Slots that one call reads. */
+    /** Slots read by one store call. */
     pageSize: number;
 }
--- a/src/process/claims/claimShardRunner.ts
+++ b/src/process/claims/claimShardRunner.ts
@@ -12,7 +12,7 @@
 import type { ShardCall } from "./shardCall.ts";
 import type { ShardOutput } from "./shardOutput.ts";
 
-/** What a {@link ClaimShardRunner} works with. */
+/** Options of a {@link ClaimShardRunner}. */
 export interface ClaimShardRunnerOptions {
     store: PlatformStore;
     clock: Clock;
@@ -27,7 +27,7 @@
     reject(error: InvariantError): void;
 }
 
-/** Runs one claim shard: makes its calls, sets its timer and hands out its verdicts. */
+/** Runs one claim shard: makes its store calls, sets its timer and resolves its verdicts. */
 export class ClaimShardRunner {
     private readonly options: ClaimShardRunnerOptions;
     private readonly tickets = new Map<number, Ticket>();
@@ -39,43 +39,43 @@
         this.options = options;
     }
 
-    /** Creates a runner; it calls nothing before the first claim or {@link load}. */
+    /** Creates a runner that makes no store call before the first claim or {@link load}. */
     static create(options: ClaimShardRunnerOptions): ClaimShardRunner {
         return new ClaimShardRunner(options);
     }
 
-    /** Reads the shard ahead of its first claim. */
+    /** Starts reading the shard before its first claim arrives. */
     load(): void {
-        this.handle((shard, time) => shard.load(time));
+        this.dispatch((shard, time) => shard.load(time));
     }
 
-    /** Reads the shard, or reads on from its tail where it was read before. */
+    /** Starts reading the shard, or only from its tail if it was read before. */
     refresh(): void {
-        this.handle((shard, time) => shard.refresh(time));
+        this.dispatch((shard, time) => shard.refresh(time));
     }
 
-    /** Claims a key. Rejects with an `InvariantError` where a check of this program failed. */
+    /** Claims a key. Rejects with an `InvariantError` if an internal check fails. */
     claim(claim: Claim): Promise<ClaimVerdict> {
         return new Promise((resolve, reject) => {
             const ticket = this.nextTicket++;
             this.tickets.set(ticket, { claim, resolve, reject });
-            this.handle((shard, time) => shard.submit(ticket, claim, time));
+            this.dispatch((shard, time) => shard.submit(ticket, claim, time));
         });
     }
 
-    /** Stops. Waiting claims are answered as not owned here: the claimants ask the next owner. */
+    /** Stops the runner. Waiting claims resolve to not owner, so that the claimants ask the next owner. */
     close(): void {
         this.stop();
         for (const ticket of this.tickets.values()) {
             ticket.resolve({
                 outcome: ClaimOutcome.NotOwner,
-                message: "The claim shard moves to another node. Ask its owner again.",
+                message: "The claim shard is moving to another node. Ask its owner again.",
             });
         }
         this.tickets.clear();
     }
 
-    /** Whether it was closed, or ended because a check failed. */
+    /** Gets if the runner was closed or ended because of a failed check. */
     hasEnded(): boolean {
         return this.isClosed;
     }
@@ -85,7 +85,7 @@
         this.timer?.cancel();
     }
 
-    private handle(event: (shard: ClaimShard, time: EventTime) => ShardOutput): void {
+    private dispatch(event: (shard: ClaimShard, time: EventTime) => ShardOutput): void {
         if (this.isClosed) {
             return;
         }
@@ -103,16 +103,16 @@
             this.options.log.write(event, fields);
         }
         for (const { ticket, verdict } of output.verdicts) {
-            this.answer(ticket, verdict);
+            this.resolveTicket(ticket, verdict);
         }
         this.setTimer(output.wakeAt);
         if (output.call !== undefined) {
-            void this.run(output.call);
+            void this.executeCall(output.call);
         }
     }
 
-    private answer(number: number, verdict: ClaimVerdict): void {
-        const ticket = this.tickets.get(number);
+    private resolveTicket(ticketNumber: number, verdict: ClaimVerdict): void {
+        const ticket = this.tickets.get(ticketNumber);
         if (ticket === undefined) {
             return;
         }
@@ -120,7 +120,7 @@
             const { key, claimant } = ticket.claim;
             this.options.grants.record(key, claimant, this.options.clock.getMonotonicTime());
         }
-        this.tickets.delete(number);
+        this.tickets.delete(ticketNumber);
         ticket.resolve(verdict);
     }
 
@@ -131,22 +131,22 @@
             ? undefined
             : clock.setTimer(
                 Math.max(0, wakeAt - clock.getMonotonicTime()),
-                () => this.handle((shard, time) => shard.wake(time)),
+                () => this.dispatch((shard, time) => shard.wake(time)),
             );
     }
 
-    private async run(call: ShardCall): Promise<void> {
+    private async executeCall(call: ShardCall): Promise<void> {
         const { store } = this.options;
         if (call.kind === "read") {
             const page = await store.list(call.prefix, call.fromKey, call.limit);
-            this.handle((shard, time) => shard.finishRead(page, time));
+            this.dispatch((shard, time) => shard.finishRead(page, time));
             return;
         }
         const outcome = await store.compareAndSwap(call.key, call.expectedRevision, call.value);
-        this.handle((shard, time) => shard.finishSwap(outcome, time));
+        this.dispatch((shard, time) => shard.finishSwap(outcome, time));
     }
 
-    /** Ends the shard's requests where a check failed; any other error is passed on. */
+    /** Rejects the shard's waiting claims if an invariant failed. Rethrows any other error. */
     private fail(error: unknown): void {
         if (!(error instanceof InvariantError)) {
             throw error;
--- a/src/process/claims/claimVerdict.ts
+++ b/src/process/claims/claimVerdict.ts
@@ -1,14 +1,14 @@
 import type { ClaimOutcome } from "./claimOutcome.ts";
 
-/** The answer to a claim. */
+/** Result of a claim. */
 export interface ClaimVerdict {
     outcome: ClaimOutcome;
-    /** First claimant of the key, where the outcome is taken or a body mismatch. */
+    /** First claimant of the key, if the key was claimed. */
     claimant?: string;
     /** Node of the first claimant. */
     nodeId?: string;
-    /** With unavailable: the shard had been read up to its tail, and no claim of the key was in it. */
+    /** For unavailable: whether the shard had been read up to its tail and held no claim on the key. */
     isUnclaimed?: boolean;
-    /** What stood in the way and what to do about it, where the claim was not granted. */
+    /** Why the claim was not granted and what to do about it. */
     message?: string;
 }
--- a/src/process/claims/createClaimKey.ts
+++ b/src/process/claims/createClaimKey.ts
@@ -1,7 +1,7 @@
 /**
- * Creates the key under which a request is claimed.
- * @param customer - Name of the customer.
- * @param idempotencyKey - The caller's UUID version 7, in either case.
+ * Creates the claim key of a request.
+ * @param customer - Customer name.
+ * @param idempotencyKey - The caller's UUID version 7, in upper or lower case.
  */
 export function createClaimKey(customer: string, idempotencyKey: string): string {
     return `${customer}/${idempotencyKey.toLowerCase()}`;
--- a/src/process/claims/decideClaim.ts
+++ b/src/process/claims/decideClaim.ts
@@ -5,28 +5,28 @@
 import type { ClaimRing } from "./claimRing.ts";
 import type { ClaimVerdict } from "./claimVerdict.ts";
 
-/** What a claim is decided from. */
+/** Options of {@link decideClaim}. */
 export interface DecideClaimOptions {
     ring: ClaimRing;
     /** Whether the ring has been read up to its tail. */
     isReady: boolean;
     /** Wall-clock time in milliseconds since the Unix epoch. */
     wallTime: number;
-    /** How long a key counts after its issue time, in milliseconds. */
+    /** How long a key is valid after its issue time, in milliseconds. */
     windowMilliseconds: number;
 }
 
 /**
- * Decides a claim from what is in memory; undefined where the claim has to be appended first.
- * What the ring holds has taken effect, so it counts also while the ring is being read.
+ * Decides a claim from the ring in memory. Returns undefined if the claim has to be appended or the ring read first.
+ * Claims in the ring have taken effect, so they also decide while the ring is still being read.
  * @param claim - Claim to decide.
- * @param options - What is known.
+ * @param options - State of the shard.
  */
 export function decideClaim(claim: Claim, options: DecideClaimOptions): ClaimVerdict | undefined {
     const { ring, isReady, wallTime, windowMilliseconds } = options;
     const holder = ring.getClaim(claim.key);
     if (holder !== undefined) {
-        return decideAgainst(claim, holder);
+        return decideClaimedKey(claim, holder);
     }
     const check = checkClaimKey(claim.key, wallTime, windowMilliseconds);
     if (check.err && (isReady || check.val.kind === ClaimKeyErrorKind.Malformed)) {
@@ -38,14 +38,14 @@
     if (ring.isForgotten(check.val)) {
         return {
             outcome: ClaimOutcome.TooOld,
-            message: "The idempotency key is older than claims that are already forgotten."
+            message: "The idempotency key is older than claims that were already dropped."
                 + " Look up the outcome before sending the request with a new key.",
         };
     }
     return undefined;
 }
 
-function decideAgainst(claim: Claim, holder: Claim): ClaimVerdict {
+function decideClaimedKey(claim: Claim, holder: Claim): ClaimVerdict {
     const { claimant, nodeId } = holder;
     if (claim.bodyHash !== holder.bodyHash) {
         return {
@@ -62,6 +62,6 @@
         outcome: ClaimOutcome.Taken,
         claimant,
         nodeId,
-        message: "The request with this idempotency key was already started. Ask the named node for its answer.",
+        message: "The request with this idempotency key was already started. Ask the given node for its response.",
     };
 }
--- a/src/process/claims/getIssueTime.ts
+++ b/src/process/claims/getIssueTime.ts
@@ -1,14 +1,14 @@
 import { validate } from "uuid";
 
-/** Longest key in characters, so that a batch of claims stays within a value of the platform's service. */
+/** Longest key in characters. Keeps a batch of claims within the size limit of a stored value. */
 const maximumKeyLength = 300;
-/** The version's digit; the 12 hexadecimal digits of the time come before it, with a hyphen among them. */
+/** Index of the version digit. The 12 hexadecimal digits of the time and two hyphens precede it. */
 const versionIndex = 14;
 
 /**
- * Gets the issue time of a claim key, in milliseconds since the Unix epoch, as RFC 9562 places it in a UUID version 7.
- * Undefined where the key is not a customer's name, a slash and a UUID version 7 in lower case.
- * A takeover calls this for each claim of the window, so the UUID is checked once and its time read from the text.
+ * Gets the issue time of a claim key in milliseconds since the Unix epoch, as encoded in a UUID version 7 (RFC 9562).
+ * Returns undefined if the key is not a customer name, a slash and a UUID version 7 in lower case.
+ * A takeover calls this for each claim in the window, so the UUID is validated once and the time parsed from its text.
  * @param key - Key to read.
  */
 export function getIssueTime(key: string): number | undefined {
--- a/src/process/claims/grantLedger.ts
+++ b/src/process/claims/grantLedger.ts
@@ -1,6 +1,6 @@
 import { InvariantError } from "../invariantError.ts";
 
-/** Settings of a {@link GrantLedger}. */
+/** Options of a {@link GrantLedger}. */
 export interface GrantLedgerOptions {
     /** How long a grant is remembered, in milliseconds. */
     rememberMilliseconds: number;
@@ -11,13 +11,13 @@
     recordedAt: number;
 }
 
-/** Remembers what this process has granted, apart from the claim log, to check that a key goes to one claimant. */
+/** Records the grants of this process independently of the claim log, to check that a key has only one claimant. */
 export class GrantLedger {
     private readonly grants = new Map<string, Grant>();
-    private readonly rememberMilliseconds: number;
+    private readonly retentionMilliseconds: number;
 
     private constructor(options: GrantLedgerOptions) {
-        this.rememberMilliseconds = options.rememberMilliseconds;
+        this.retentionMilliseconds = options.rememberMilliseconds;
     }
 
     /** Creates an empty ledger. */
@@ -26,13 +26,13 @@
     }
 
     /**
-     * Records a grant. Throws an `InvariantError` where the key was granted to another claimant.
-     * @param key - Key that is granted.
-     * @param claimant - Claimant that gets it.
+     * Records a grant. Throws an `InvariantError` if the key was granted to another claimant before.
+     * @param key - Granted key.
+     * @param claimant - Claimant that the key is granted to.
      * @param monotonicTime - Monotonic time in milliseconds.
      */
     record(key: string, claimant: string, monotonicTime: number): void {
-        this.forgetOld(monotonicTime);
+        this.removeExpired(monotonicTime);
         const earlier = this.grants.get(key);
         if (earlier === undefined) {
             this.grants.set(key, { claimant, recordedAt: monotonicTime });
@@ -40,14 +40,14 @@
         else if (earlier.claimant !== claimant) {
             throw InvariantError.create(
                 "onceGranted",
-                `The key ${key} was granted to ${earlier.claimant} and then to ${claimant}. Report this as a fault.`,
+                `Key ${key} was granted to ${earlier.claimant} and then to ${claimant}. Report this as a bug.`,
             );
         }
     }
 
-    private forgetOld(monotonicTime: number): void {
+    private removeExpired(monotonicTime: number): void {
         for (const [key, grant] of this.grants) {
-            if (monotonicTime - grant.recordedAt < this.rememberMilliseconds) {
+            if (monotonicTime - grant.recordedAt < this.retentionMilliseconds) {
                 return;
             }
             this.grants.delete(key);
--- a/src/process/claims/learnStored.ts
+++ b/src/process/claims/learnStored.ts
@@ -5,14 +5,14 @@
 import { parseClaimBatch } from "./parseClaimBatch.ts";
 
 /**
- * Takes a stored slot into a ring. The error says why its content does not fit.
+ * Applies a stored slot to a ring. Returns an error with the reason if its contents are invalid or inconsistent.
  * @param ring - Ring of the slot's shard.
- * @param stored - Slot as read from the service.
+ * @param stored - Slot as read from the store.
  */
 export function learnStored(ring: ClaimRing, stored: StoredValue): Result<void, string> {
     const batch = parseClaimBatch(stored.value);
     if (batch.err) {
-        return Err(`The key ${stored.key} holds no batch of claims: ${batch.val}`);
+        return Err(`Key ${stored.key} does not hold a valid batch of claims: ${batch.val}`);
     }
     return ring.learn(claimStoreKeys.getSlot(stored.key), stored.revision, batch.val);
 }
--- a/src/process/claims/parseClaimBatch.ts
+++ b/src/process/claims/parseClaimBatch.ts
@@ -17,7 +17,7 @@
 });
 
 /**
- * Parses the content of a slot. The error says what is wrong with it.
+ * Parses the contents of a slot. Returns an error with the reason if they are invalid.
  * @param value - Value of the slot's key.
  */
 export function parseClaimBatch(value: string): Result<ClaimBatch, string> {
@@ -26,7 +26,7 @@
         content = JSON.parse(value);
     }
     catch {
-        return Err("The slot holds no JSON.");
+        return Err("The value is not valid JSON.");
     }
     const parsed = batchSchema.safeParse(content);
     return parsed.success ? Ok(parsed.data) : Err(z.prettifyError(parsed.error));
--- a/src/process/claims/ringReading.ts
+++ b/src/process/claims/ringReading.ts
@@ -1,15 +1,15 @@
 import type { ClaimRing } from "./claimRing.ts";
 
 /**
- * Where the reading of a ring stands. A listing is no snapshot: appends of another owner may fall between two
- * pages, so after the first listing the slots that are older than the tail says are read again.
+ * Cursor for reading a ring page by page. A listing is not a snapshot: another owner may append between two pages, so
+ * after the first listing the slots that miss a batch before the tail are read again.
  */
 export class RingReading {
     private readonly ring: ClaimRing;
     private readonly getSlotKey: (slot: number) => string;
     private isListed = false;
     private key: string | undefined;
-    /** Next number at the last reading from the tail; the reading goes on while it grows. */
+    /** Next batch number when reading last started from the tail. Reading continues until the number stops growing. */
     private readThrough = 0;
 
     private constructor(ring: ClaimRing, getSlotKey: (slot: number) => string) {
@@ -19,28 +19,28 @@
     }
 
     /**
-     * Creates a reading that begins with the first slot.
-     * @param ring - Ring that the pages are taken into.
+     * Creates a cursor at the first slot.
+     * @param ring - Ring that the pages are applied to.
      * @param getSlotKey - Gets the key of a slot.
      */
     static create(ring: ClaimRing, getSlotKey: (slot: number) => string): RingReading {
         return new RingReading(ring, getSlotKey);
     }
 
-    /** Gets the key to read from next; undefined where all numbers up to the tail are known. */
+    /** Gets the key to read from next, or undefined if all batches up to the tail are known. */
     getKey(): string | undefined {
         return this.key;
     }
 
-    /** Reads on from the tail, after another owner has appended. */
+    /** Moves the cursor to the tail, because another owner may have appended. */
     readFromTail(): void {
         this.readThrough = this.ring.getNextNumber();
         this.key = this.getSlotKey(this.ring.getNextSlot());
     }
 
     /**
-     * Goes on after a page. False where the page did not help: the slot that was to be read is missing.
-     * @param nextKey - Key that the listing continues with, where there are more.
+     * Advances after a page. Returns false if there was no progress because the requested slot is missing.
+     * @param nextKey - First key of the next page, if there is one.
      */
     finishPage(nextKey: string | undefined): boolean {
         if (!this.isListed && nextKey !== undefined) {
--- a/src/process/claims/shardHash.ts
+++ b/src/process/claims/shardHash.ts
@@ -1,6 +1,6 @@
 import xxhash, { type XXHashAPI } from "xxhash-wasm";
 
-/** Spreads keys over the shards of the claim log. All nodes get the same shard for a key. */
+/** Maps keys to shards of the claim log. All nodes get the same shard for a key. */
 export class ShardHash {
     private readonly hash: XXHashAPI;
 
--- a/src/process/claims/shardOutput.ts
+++ b/src/process/claims/shardOutput.ts
@@ -2,12 +2,12 @@
 import type { ShardCall } from "./shardCall.ts";
 import type { TicketVerdict } from "./ticketVerdict.ts";
 
-/** What a claim shard wants done after an event. */
+/** Actions that a claim shard requests after an event. */
 export interface ShardOutput {
     verdicts: TicketVerdict[];
-    /** Call to make; its result is the next event of its kind. Never a second one before. */
+    /** Store call to make. Its result must be passed back; no other call is requested until then. */
     call?: ShardCall;
-    /** Monotonic time in milliseconds at which to wake the shard; replaces the earlier one. */
+    /** Monotonic time in milliseconds to wake the shard at. Replaces the previous one. */
     wakeAt?: number;
     logs: { event: LogEvent; fields: Record<string, string | number>; }[];
 }
--- a/src/process/claims/slotIntake.ts
+++ b/src/process/claims/slotIntake.ts
@@ -11,18 +11,18 @@
 
 /** Options of a {@link SlotIntake}. */
 interface SlotIntakeOptions {
-    /** Ring that the slots are taken into. */
+    /** Ring that the slots are applied to. */
     ring: ClaimRing;
-    /** Where the reading of the ring stands. */
+    /** Cursor that reads the ring. */
     reading: RingReading;
-    /** Id of this owner, which its batches carry. */
+    /** Id of this owner, which is part of its batch ids. */
     ownerId: string;
-    /** Number of slots of the ring. */
+    /** Number of slots in the ring. */
     ringSize: number;
     log(event: LogEvent, fields: Record<string, string | number>): void;
 }
 
-/** Takes what the service holds in a shard's slots into the ring, and logs what does not fit. No I/O. */
+/** Applies the stored slots of a shard to its ring and logs inconsistent ones. Does no I/O. */
 export class SlotIntake {
     private readonly options: SlotIntakeOptions;
 
@@ -30,22 +30,22 @@
         this.options = options;
     }
 
-    /** Creates the intake of a ring. */
+    /** Creates an applier for a ring. */
     static create(options: SlotIntakeOptions): SlotIntake {
         return new SlotIntake(options);
     }
 
     /**
-     * Takes in what stands in the slot after an append that reached the service. Where another owner's batch stands
-     * there, the ring is read on from its tail.
-     * @param outcome - Answer of the service.
-     * @param sent - Batch that was to be appended.
+     * Applies the contents of the slot after an append that reached the store. If they are another owner's batch, the
+     * ring is read from its tail.
+     * @param outcome - Response of the store.
+     * @param sent - Batch of the append.
      */
     learnSwap(outcome: SwapOutcome, sent: ClaimBatch): void {
         const { ring, reading, ownerId, ringSize, log } = this.options;
         const { swapped, revision, current } = outcome;
         if (swapped) {
-            this.check(ring.learn(sent.number % ringSize, revision ?? 0, sent));
+            this.checkApplied(ring.learn(sent.number % ringSize, revision ?? 0, sent));
             return;
         }
         if (current === undefined) {
@@ -55,33 +55,33 @@
             return;
         }
         const isOwn = current.value.includes(ownerId);
-        if (this.check(learnStored(ring, current)) && !isOwn) {
+        if (this.checkApplied(learnStored(ring, current)) && !isOwn) {
             log(events.claimRaceLost, { number: sent.number });
             reading.readFromTail();
         }
     }
 
     /**
-     * Takes in a page of slots.
-     * @returns Whether the reading got on.
+     * Applies a page of slots.
+     * @returns Whether reading made progress.
      */
     learnPage(page: StoredPage): boolean {
         const { ring, reading } = this.options;
         for (const value of page.values) {
-            if (!this.check(learnStored(ring, value))) {
+            if (!this.checkApplied(learnStored(ring, value))) {
                 return false;
             }
         }
-        const hasHelped = reading.finishPage(page.nextKey);
-        return hasHelped || this.check(Err(
-            `The service has lost the number due in ${reading.getKey()}. ${remedy}`,
+        const hasAdvanced = reading.finishPage(page.nextKey);
+        return hasAdvanced || this.checkApplied(Err(
+            `The store has lost the batch expected in ${reading.getKey()}. ${remedy}`,
         ));
     }
 
-    private check(learned: Result<void, string>): boolean {
-        if (learned.err) {
-            this.options.log(events.claimSlotUnreadable, { reason: learned.val });
+    private checkApplied(result: Result<void, string>): boolean {
+        if (result.err) {
+            this.options.log(events.claimSlotUnreadable, { reason: result.val });
         }
-        return learned.ok;
+        return result.ok;
     }
 }
--- a/src/process/claims/takeBatchClaims.ts
+++ b/src/process/claims/takeBatchClaims.ts
@@ -1,12 +1,12 @@
 import type { Claim } from "./claim.ts";
 import type { WaitingClaim } from "./waitingClaim.ts";
 
-/** Most characters of one batch's claims, so that the value stays under the service's megabyte. */
+/** Most characters in one batch's claims. Keeps the stored value below the store's limit of 1 MB. */
 const maximumCharacters = 250_000;
 
 /**
- * Takes the claims of the next append: the first of each key in the order of arrival, as many as fit a value.
- * @param waiting - Claims that wait, oldest first.
+ * Selects the claims for the next append: the oldest claim of each key, as many as fit into one stored value.
+ * @param waiting - Waiting claims, oldest first.
  */
 export function takeBatchClaims(waiting: readonly WaitingClaim[]): Claim[] {
     const claims = new Map<string, Claim>();
--- a/src/process/claims/ticketVerdict.ts
+++ b/src/process/claims/ticketVerdict.ts
@@ -1,6 +1,6 @@
 import type { ClaimVerdict } from "./claimVerdict.ts";
 
-/** The verdict for the claim that was submitted under a ticket. */
+/** Verdict for the claim that was submitted with a ticket. */
 export interface TicketVerdict {
     ticket: number;
     verdict: ClaimVerdict;
--- a/src/process/claims/waitingClaim.ts
+++ b/src/process/claims/waitingClaim.ts
@@ -1,10 +1,10 @@
 import type { Claim } from "./claim.ts";
 
-/** A claim that has no verdict yet. */
+/** Claim without a verdict yet. */
 export interface WaitingClaim {
-    /** Number under which the verdict is given. */
+    /** Number that identifies the claim in the output. */
     ticket: number;
     claim: Claim;
-    /** Monotonic time in milliseconds at which the claim is given up. */
+    /** Monotonic time in milliseconds at which the claim is refused. */
     deadline: number;
 }
--- a/src/process/claims/waitingClaims.ts
+++ b/src/process/claims/waitingClaims.ts
@@ -6,20 +6,20 @@
 import type { TicketVerdict } from "./ticketVerdict.ts";
 import type { WaitingClaim } from "./waitingClaim.ts";
 
-/** What a {@link WaitingClaims} asks its shard. */
+/** Options of a {@link WaitingClaims}. */
 export interface WaitingClaimsOptions {
-    /** Decides a claim from what is known; undefined where it has to wait. */
+    /** Decides a claim from the shard's state. Returns undefined if the claim has to wait. */
     decide(claim: Claim, wallTime: number): ClaimVerdict | undefined;
-    /** Tells whether the shard has been read up to its tail. */
+    /** Gets if the shard has been read up to its tail. */
     isReady(): boolean;
-    /** Finds a claim on a key that may have taken effect, or may still do so. */
+    /** Finds a claim on a key that may have taken effect or may still do so. */
     findPossible(key: string): Claim | undefined;
 }
 
-/** Most claims that wait in one shard. */
-const maximumWaiting = 10_000;
+/** Most waiting claims in one shard. */
+const maximumWaitingClaims = 10_000;
 
-/** The claims of a shard that have no verdict yet, oldest first, and the verdicts that are ready to be given. */
+/** Queue of a shard's claims without a verdict, oldest first, and of the verdicts that have not been taken yet. */
 export class WaitingClaims {
     private readonly options: WaitingClaimsOptions;
     private readonly refused = RefusedClaimants.create();
@@ -30,7 +30,7 @@
         this.options = options;
     }
 
-    /** Creates an empty list. */
+    /** Creates an empty queue. */
     static create(options: WaitingClaimsOptions): WaitingClaims {
         return new WaitingClaims(options);
     }
@@ -40,42 +40,42 @@
         return this.entries;
     }
 
-    /** Gets the verdicts since the last call. */
+    /** Gets and clears the new verdicts. */
     takeVerdicts(): TicketVerdict[] {
         const verdicts = this.verdicts;
         this.verdicts = [];
         return verdicts;
     }
 
-    /** Answers a claim at once where it can be decided, else lets it wait. */
+    /** Resolves a claim at once if it can be decided, otherwise queues it. */
     add(entry: WaitingClaim, time: EventTime): void {
-        if (this.tryAnswer(entry, time)) {
+        if (this.tryResolve(entry, time)) {
             return;
         }
-        if (this.entries.length >= maximumWaiting) {
-            this.refuse(entry, "Too many claims wait for this shard. Try again later.", time);
+        if (this.entries.length >= maximumWaitingClaims) {
+            this.refuse(entry, "Too many claims are waiting for this shard. Try again later.", time);
             return;
         }
         this.entries.push(entry);
     }
 
-    /** Answers the claims that can be decided now. */
+    /** Resolves the claims that can be decided now. */
     answerDecided(time: EventTime): void {
-        this.entries = this.entries.filter(entry => !this.tryAnswer(entry, time));
+        this.entries = this.entries.filter(entry => !this.tryResolve(entry, time));
     }
 
-    /** Refuses the claims whose time is over. */
+    /** Refuses the claims whose deadline has passed. */
     giveUp(time: EventTime): void {
-        const isOver = (entry: WaitingClaim): boolean => entry.deadline <= time.monotonic;
-        if (this.entries[0] === undefined || !isOver(this.entries[0])) {
+        const isExpired = (entry: WaitingClaim): boolean => entry.deadline <= time.monotonic;
+        if (this.entries[0] === undefined || !isExpired(this.entries[0])) {
             return;
         }
         for (const entry of this.entries) {
-            if (isOver(entry)) {
-                this.refuse(entry, "The platform's service did not answer in time. Try again later.", time);
+            if (isExpired(entry)) {
+                this.refuse(entry, "The platform's key-value store did not respond in time. Try again later.", time);
             }
         }
-        this.entries = this.entries.filter(entry => !isOver(entry));
+        this.entries = this.entries.filter(entry => !isExpired(entry));
     }
 
     /** Refuses all claims. */
@@ -86,31 +86,31 @@
         this.entries = [];
     }
 
-    private tryAnswer(entry: WaitingClaim, time: EventTime): boolean {
+    private tryResolve(entry: WaitingClaim, time: EventTime): boolean {
         const { claim } = entry;
         const verdict = this.refused.getVerdict(claim.claimant) ?? this.options.decide(claim, time.wall);
         if (verdict !== undefined) {
-            this.answer(entry, verdict, time);
+            this.resolve(entry, verdict, time);
         }
         return verdict !== undefined;
     }
 
-    /** Refuses a claim: taken where another claimant's append may have taken effect, else unavailable. */
+    /** Refuses a claim: as taken if another claimant's append may have taken effect, otherwise as unavailable. */
     private refuse(entry: WaitingClaim, message: string, time: EventTime): void {
         const earlier = this.refused.getVerdict(entry.claim.claimant);
-        this.answer(entry, earlier ?? this.getRefusal(entry.claim, message), time);
+        this.resolve(entry, earlier ?? this.getRefusal(entry.claim, message), time);
     }
 
     private getRefusal(claim: Claim, message: string): ClaimVerdict {
-        const possible = this.options.findPossible(claim.key);
-        if (possible === undefined || possible.claimant === claim.claimant) {
+        const unconfirmed = this.options.findPossible(claim.key);
+        if (unconfirmed === undefined || unconfirmed.claimant === claim.claimant) {
             const isUnclaimed = this.options.isReady();
             return { outcome: ClaimOutcome.Unavailable, message, ...(isUnclaimed ? { isUnclaimed } : {}) };
         }
-        return { outcome: ClaimOutcome.Taken, claimant: possible.claimant, nodeId: possible.nodeId, message };
+        return { outcome: ClaimOutcome.Taken, claimant: unconfirmed.claimant, nodeId: unconfirmed.nodeId, message };
     }
 
-    private answer(entry: WaitingClaim, verdict: ClaimVerdict, time: EventTime): void {
+    private resolve(entry: WaitingClaim, verdict: ClaimVerdict, time: EventTime): void {
         if (verdict.outcome !== ClaimOutcome.Granted) {
             this.refused.add(entry.claim.claimant, verdict, time.monotonic);
         }
--- a/src/process/membership/configurationSpreader.ts
+++ b/src/process/membership/configurationSpreader.ts
@@ -24,7 +24,7 @@
 const maximumAttempts = 4;
 const firstRetryMilliseconds = 200;
 
-/** Options of a configuration spreader. */
+/** Options of a {@link ConfigurationSpreader}. */
 interface ConfigurationSpreaderOptions {
     view: MembershipView;
     clock: Clock;
@@ -35,22 +35,23 @@
         request: AnnounceConfigurationRequest,
     ): Promise<Result<AnnounceConfigurationResponse, PeerError>>;
     callGet(address: string, request: GetConfigurationRequest): Promise<Result<GetConfigurationResponse, PeerError>>;
-    /** Gets the configuration in force here, undefined where there is none. */
+    /** Gets the node's current configuration, or undefined if there is none. */
     getHeld(): ConfigurationText | undefined;
-    /** Checks a configuration of a peer and puts it in force if it is higher than the held one. */
+    /** Validates a peer's configuration and applies it if its version is higher than the current one. */
     offer(configuration: ConfigurationText): Promise<void> | void;
-    /** Peers that are told of a new version. Default 8, all of 9 nodes. */
+    /** Peers that a new version is announced to. Default 8, which is all peers of 9 nodes. */
     fanOut?: number;
 }
 
 /**
- * Spreads accepted configurations from node to node: each node that takes in a higher version tells some random peers,
- * and a node that hears of a higher one fetches it. Heartbeats carry the version too and reach those that were missed.
+ * Distributes configurations from node to node by gossip. A node that applies a higher version announces it to random
+ * peers, and a node that learns of a higher version fetches it. Heartbeats also carry the version and reach the nodes
+ * that the announcements missed.
  */
 export class ConfigurationSpreader {
     private readonly options: ConfigurationSpreaderOptions;
     private readonly rotation: PeerRotation;
-    /** Addresses known to hold a version that is being fetched, by version. */
+    /** Addresses that have a version which is being fetched, by version. */
     private readonly sources = new Map<number, string[]>();
     private readonly pulls = new Map<number, Promise<void>>();
     private readonly retries = new Set<TimerHandle>();
@@ -62,12 +63,12 @@
         this.rotation = PeerRotation.create(options.random);
     }
 
-    /** Creates a spreader. */
+    /** Creates an instance that does nothing until it is called. */
     static create(options: ConfigurationSpreaderOptions): ConfigurationSpreader {
         return new ConfigurationSpreader(options);
     }
 
-    /** Tells peers that a version is in force here. Does nothing for one that was announced, or a lower one. */
+    /** Announces the node's current version to peers. Does nothing if this or a higher version was announced. */
     announce(version: number): void {
         if (version <= this.announcedVersion || this.isStopped) {
             return;
@@ -79,13 +80,13 @@
     }
 
     /**
-     * Fetches a version that a peer has, if it is higher than the held one. Calls for one version are joined; further
-     * addresses are tried where the first fails.
-     * @param version - The version that the peer reported.
+     * Fetches a peer's version if it is higher than the current one. Concurrent calls for one version share one fetch,
+     * which tries the next address if one fails.
+     * @param version - Version that the peer reported.
      * @param peerAddress - host:port of the peer.
      */
     async pull(version: number, peerAddress: string): Promise<void> {
-        if (version <= this.getHeldVersion() || this.isStopped) {
+        if (version <= this.getCurrentVersion() || this.isStopped) {
             return;
         }
         const sources = this.sources.get(version) ?? [];
@@ -93,30 +94,30 @@
         if (!sources.includes(peerAddress)) {
             sources.push(peerAddress);
         }
-        const running = this.pulls.get(version) ?? this.fetch(version, sources);
-        this.pulls.set(version, running);
-        await running;
+        const pull = this.pulls.get(version) ?? this.fetch(version, sources);
+        this.pulls.set(version, pull);
+        await pull;
     }
 
-    /** Answers the AnnounceConfiguration call of a peer; the fetching goes on after the answer. */
+    /** Handles a peer's AnnounceConfiguration call. The version is fetched after the response. */
     handleAnnounce(request: AnnounceConfigurationRequest): AnnounceConfigurationResponse {
         const sender = this.options.view.getMember(request.fromNodeId);
         if (sender !== undefined) {
             void this.pull(Number(request.version), sender.peerAddress);
         }
-        return create(AnnounceConfigurationResponseSchema, { versionInForce: BigInt(this.getHeldVersion()) });
+        return create(AnnounceConfigurationResponseSchema, { versionInForce: BigInt(this.getCurrentVersion()) });
     }
 
-    /** Answers the GetConfiguration call of a peer. */
+    /** Handles a peer's GetConfiguration call. */
     handleGet(request: GetConfigurationRequest): GetConfigurationResponse {
-        const held = this.options.getHeld();
-        if (held === undefined || BigInt(held.version) <= request.knownVersion) {
+        const current = this.options.getHeld();
+        if (current === undefined || BigInt(current.version) <= request.knownVersion) {
             return create(GetConfigurationResponseSchema, {});
         }
-        return create(GetConfigurationResponseSchema, { ...held, version: BigInt(held.version) });
+        return create(GetConfigurationResponseSchema, { ...current, version: BigInt(current.version) });
     }
 
-    /** Stops retries; calls that are under way end by themselves. */
+    /** Cancels retries. Calls in flight end by themselves. */
     stop(): void {
         this.isStopped = true;
         for (const retry of this.retries) {
@@ -126,8 +127,8 @@
 
     private async fetch(version: number, sources: readonly string[]): Promise<void> {
         try {
-            // More sources may be added while one is asked.
-            for (let next = 0; next < sources.length && this.getHeldVersion() < version; next++) {
+            // More sources may be added during a call.
+            for (let next = 0; next < sources.length && this.getCurrentVersion() < version; next++) {
                 await this.fetchFrom(sources[next] as string, version);
             }
         }
@@ -138,20 +139,20 @@
     }
 
     private async fetchFrom(address: string, version: number): Promise<void> {
-        const knownVersion = BigInt(this.getHeldVersion());
+        const knownVersion = BigInt(this.getCurrentVersion());
         const result = await this.options.callGet(address, create(GetConfigurationRequestSchema, { knownVersion }));
         if (result.err) {
             this.options.log.write(events.configurationPullFailed, { version, address, reason: result.val.message });
             return;
         }
         const received = Number(result.val.version);
-        if (received <= this.getHeldVersion() || this.isStopped) {
+        if (received <= this.getCurrentVersion() || this.isStopped) {
             return;
         }
         await this.options.offer({ version: received, editId: result.val.editId, text: result.val.text });
-        if (this.getHeldVersion() >= received) {
+        if (this.getCurrentVersion() >= received) {
             this.options.log.write(events.configurationPulled, { version: received, address });
-            this.announce(this.getHeldVersion());
+            this.announce(this.getCurrentVersion());
         }
         else {
             this.options.log.write(events.configurationOfferRefused, { version: received, address });
@@ -184,7 +185,7 @@
         return this.rotation.take(addresses, this.options.fanOut ?? defaultFanOut);
     }
 
-    private getHeldVersion(): number {
+    private getCurrentVersion(): number {
         return this.options.getHeld()?.version ?? 0;
     }
 }
--- a/src/process/membership/configurationText.ts
+++ b/src/process/membership/configurationText.ts
@@ -1,9 +1,9 @@
-/** A configuration as it travels between nodes: checked by its receiver, never trusted. */
+/** Configuration as sent between nodes. The receiver validates it. */
 export interface ConfigurationText {
-    /** Number of the version; only grows. */
+    /** Version number, which only increases. */
     version: number;
-    /** Unique name of the edit that brought it. */
+    /** Unique id of the edit that created the version. */
     editId: string;
-    /** The operators' text as written. */
+    /** Text as written by the operators. */
     text: string;
 }
--- a/src/process/membership/contact.ts
+++ b/src/process/membership/contact.ts
@@ -1,9 +1,9 @@
-/** Whom to send a heartbeat to. */
+/** Target of a heartbeat. */
 export interface Contact {
     /** host:port of the peer listener. */
     address: string;
-    /** Name of the member; undefined for an address of the VM list that no member is known to have. */
+    /** Id of the member, or undefined for an address of the VM list that belongs to no known member. */
     nodeId: string | undefined;
-    /** Whether to fetch the peer's whole view after the heartbeat. */
+    /** Whether to fetch the peer's full view after the heartbeat. */
     isPull: boolean;
 }
--- a/src/process/membership/contactChooser.ts
+++ b/src/process/membership/contactChooser.ts
@@ -5,24 +5,24 @@
 import { MemberState } from "./memberState.ts";
 import { PeerRotation } from "./peerRotation.ts";
 
-/** Seeds and members that may be back are tried once in so many rounds. */
-const outsiderRounds = 2;
-/** A suspected member is checked out of turn by about this many nodes. */
-const urgentCheckers = 3;
+/** A seed or a dead member that may be back is contacted once in this many rounds. */
+const discoveryIntervalRounds = 2;
+/** About this many nodes check a suspected member out of turn. */
+const suspectCheckers = 3;
 
-/** Options of a contact chooser. */
+/** Options of a {@link ContactChooser}. */
 interface ContactChooserOptions {
     view: MembershipView;
     random: RandomSource;
-    /** Up to this many peers, all are contacted in each round. */
+    /** All peers are contacted in each round if there are at most this many. */
     fullMeshPeers: number;
-    /** Peers contacted in a round where there are more. */
+    /** Peers contacted in each round if there are more. */
     fanOut: number;
-    /** Mean time between two pulls of a peer's whole view in milliseconds. */
+    /** Mean time between two pulls of a peer's full view in milliseconds. */
     pullIntervalMilliseconds: number;
 }
 
-/** Chooses whom to contact in a round. */
+/** Chooses the contacts of each gossip round. */
 export class ContactChooser {
     private readonly options: ContactChooserOptions;
     private readonly view: MembershipView;
@@ -37,25 +37,25 @@
         this.rotation = PeerRotation.create(options.random);
     }
 
-    /** Creates a chooser that asks for a pull until one has succeeded. */
+    /** Creates a chooser that requests a pull in each round until one has succeeded. */
     static create(options: ContactChooserOptions): ContactChooser {
         return new ContactChooser(options);
     }
 
-    /** Chooses the contacts of the next round: peers, and at times one that may be up without being a live member. */
+    /** Chooses the contacts of the next round: peers and, in some rounds, a seed or a dead member that may be back. */
     chooseRound(now: number): Contact[] {
         const contacts = this.choosePeers();
         const first = contacts[0];
         if (first !== undefined && this.isPullDue(now)) {
             contacts[0] = { ...first, isPull: true };
         }
-        const isOutsiderDue = !this.hasPulled || this.round % outsiderRounds === 0;
+        const isDiscoveryDue = !this.hasPulled || this.round % discoveryIntervalRounds === 0;
         this.round++;
-        const outsider = isOutsiderDue ? this.chooseOutsider() : undefined;
-        return outsider === undefined ? contacts : [...contacts, outsider];
+        const discovered = isDiscoveryDue ? this.chooseDiscoveryContact() : undefined;
+        return discovered === undefined ? contacts : [...contacts, discovered];
     }
 
-    /** Chooses the peers of one round. */
+    /** Chooses the peers of a round. */
     choosePeers(): Contact[] {
         const self = this.view.getSelf().nodeId;
         const peers = new Map<string, Member>();
@@ -69,23 +69,23 @@
         return chosen.filter(member => member !== undefined).map(member => toContact(member, false));
     }
 
-    /** Checks a suspect out of turn, with such a chance that a few of all nodes do. */
+    /** Checks a suspect out of turn with a probability that makes a few of all nodes do so. */
     noteSuspect(member: Member): void {
-        if (this.options.random() * this.view.getAliveMembers().length < urgentCheckers) {
+        if (this.options.random() * this.view.getAliveMembers().length < suspectCheckers) {
             this.rotation.prefer(member.nodeId);
         }
     }
 
-    /** Notes that a pull has succeeded. */
+    /** Records that a pull has succeeded. */
     notePulled(): void {
         this.hasPulled = true;
     }
 
-    private chooseOutsider(): Contact | undefined {
+    private chooseDiscoveryContact(): Contact | undefined {
         const seeds = this.view.getSeedAddresses().map(address => ({ address, nodeId: undefined, isPull: true }));
-        const back = this.view.getReconnectionCandidates().map(member => toContact(member, true));
-        const outsiders = [...seeds, ...back];
-        return outsiders[Math.floor(this.options.random() * outsiders.length)];
+        const deadMembers = this.view.getReconnectionCandidates().map(member => toContact(member, true));
+        const candidates = [...seeds, ...deadMembers];
+        return candidates[Math.floor(this.options.random() * candidates.length)];
     }
 
     private isPullDue(now: number): boolean {
--- a/src/process/membership/getDutyNodeIds.ts
+++ b/src/process/membership/getDutyNodeIds.ts
@@ -2,8 +2,9 @@
 import { MemberState } from "./memberState.ts";
 
 /**
- * Gets the names of the nodes that claims, orders and kept answers are assigned to: those alive, without the suspected.
- * @param view - The members.
+ * Gets the ids of the nodes that claims, orders and kept answers are assigned to. These are the alive nodes without the
+ * suspected ones.
+ * @param view - Membership view.
  */
 export function getDutyNodeIds(view: MembershipView): string[] {
     const nodeIds: string[] = [];
--- a/src/process/membership/gossipExchange.ts
+++ b/src/process/membership/gossipExchange.ts
@@ -17,49 +17,49 @@
 const defaultPiggybackLimit = 8;
 const defaultPayloadBudgetBytes = 256;
 
-/** Options of the gossip messages. */
+/** Options of a {@link GossipExchange}. */
 interface GossipExchangeOptions {
     view: MembershipView;
     payloads: GossipPayloads;
-    /** Most recent changes of the membership in one message. Default 8. */
+    /** Most membership changes in one message. Default 8. */
     piggybackLimit?: number;
     /** Most bytes of endpoint and demand records in one message. Default 256. */
     payloadBudgetBytes?: number;
-    /** Called when a peer reports a version of the configuration that is higher than the own one. */
+    /** Called when a peer reports a higher configuration version than this node's. */
     onPeerConfigurationVersion(version: number, peerAddress: string): void;
 }
 
 /**
- * Builds and takes in gossip messages; no input or output. Two forms of request exist: a heartbeat, which carries the
- * own record and recent changes, and a pull without any member record, which is answered with the whole view.
+ * Builds and handles gossip messages. Does no I/O. There are two kinds of requests: a heartbeat, which carries the node's
+ * own record and recent changes, and a pull, which has no member records and is answered with the full view.
  */
 export class GossipExchange {
     private readonly view: MembershipView;
     private readonly payloads: GossipPayloads;
     private readonly queue = ChangeQueue.create();
-    private isApplyingWholeView = false;
+    private isApplyingFullView = false;
     private readonly piggybackLimit: number;
-    private readonly payloadBudget: number;
+    private readonly payloadBudgetBytes: number;
     private readonly onPeerConfigurationVersion: (version: number, peerAddress: string) => void;
 
     private constructor(options: GossipExchangeOptions) {
         this.view = options.view;
         this.payloads = options.payloads;
         this.piggybackLimit = options.piggybackLimit ?? defaultPiggybackLimit;
-        this.payloadBudget = options.payloadBudgetBytes ?? defaultPayloadBudgetBytes;
+        this.payloadBudgetBytes = options.payloadBudgetBytes ?? defaultPayloadBudgetBytes;
         this.onPeerConfigurationVersion = options.onPeerConfigurationVersion;
         this.queue.add(this.view.getSelf());
         this.view.onChange(change => this.queueChange(change));
     }
 
-    /** Creates the exchange and follows the view's changes. */
+    /** Creates an exchange that listens for changes of the view. */
     static create(options: GossipExchangeOptions): GossipExchange {
         return new GossipExchange(options);
     }
 
     /**
      * Builds a heartbeat.
-     * @param peer - Record of the peer; it is told what is believed of it, so that it can refute that.
+     * @param peer - Record of the peer. It is included if the peer is not considered alive, so that the peer can refute it.
      */
     createHeartbeat(peer: Member | undefined): GossipRequest {
         const first = [this.view.getSelf()];
@@ -69,20 +69,20 @@
         return create(GossipRequestSchema, {
             fromNodeId: this.view.getSelf().nodeId,
             members: this.addChanges(first).map(memberCodec.encode),
-            endpoints: this.payloads.collectEndpointRecords(this.payloadBudget / 2),
-            demands: this.payloads.collectDemandRecords(this.payloadBudget / 2),
+            endpoints: this.payloads.collectEndpointRecords(this.payloadBudgetBytes / 2),
+            demands: this.payloads.collectDemandRecords(this.payloadBudgetBytes / 2),
         });
     }
 
-    /** Builds a request for the peer's whole view. */
+    /** Builds a request for the peer's full view. */
     createPull(): GossipRequest {
         return create(GossipRequestSchema, { fromNodeId: this.view.getSelf().nodeId });
     }
 
-    /** Answers a request of a peer. */
+    /** Handles a peer's request. */
     answer(request: GossipRequest, now: number): GossipResponse {
-        const heard = memberCodec.decodeAll(request.members);
-        this.view.applyRecords(heard, now);
+        const received = memberCodec.decodeAll(request.members);
+        this.view.applyRecords(received, now);
         this.view.noteContact(request.fromNodeId);
         this.payloads.applyEndpointRecords(request.endpoints);
         const isPull = request.members.length === 0;
@@ -93,21 +93,21 @@
         if (sender !== undefined) {
             this.reportVersion(sender.configurationVersion, sender.peerAddress);
         }
-        const members = isPull ? this.view.getMembers() : this.addChanges(this.getCorrections(heard));
+        const members = isPull ? this.view.getMembers() : this.addChanges(this.getCorrections(received));
         return create(GossipResponseSchema, this.createResponse(members));
     }
 
     /**
-     * Takes in the answer to a request.
-     * @param response - The answer.
+     * Handles the response to a request.
+     * @param response - Response of the peer.
      * @param peerAddress - host:port of the peer.
      * @param isPull - Whether the request was a pull.
-     * @param now - Monotonic milliseconds.
+     * @param now - Monotonic time in milliseconds.
      */
     applyResponse(response: GossipResponse, peerAddress: string, isPull: boolean, now: number): void {
         const members = memberCodec.decodeAll(response.members);
         if (isPull) {
-            this.applyWholeView(members, now);
+            this.applyFullView(members, now);
         }
         else {
             this.view.applyRecords(members, now);
@@ -116,7 +116,7 @@
         this.reportVersion(Number(response.configurationVersion), peerAddress);
     }
 
-    /** Notes the version that a known peer answered with. */
+    /** Records the configuration version in a known peer's response. */
     noteVersion(nodeId: string, response: GossipResponse, now: number): void {
         const member = this.view.getMember(nodeId);
         const configurationVersion = Number(response.configurationVersion);
@@ -128,18 +128,18 @@
     private createResponse(members: readonly Member[]): MessageInitShape<typeof GossipResponseSchema> {
         return {
             members: members.map(memberCodec.encode),
-            endpoints: this.payloads.collectEndpointRecords(this.payloadBudget),
+            endpoints: this.payloads.collectEndpointRecords(this.payloadBudgetBytes),
             configurationVersion: BigInt(this.view.getSelf().configurationVersion),
         };
     }
 
-    /** Gets the held records that beat those the peer sent: among them the refutation of a suspicion of this node. */
-    private getCorrections(heard: readonly Member[]): Member[] {
+    /** Gets the known records that supersede received ones, such as the refutation of a suspicion of this node. */
+    private getCorrections(received: readonly Member[]): Member[] {
         const corrections: Member[] = [];
-        for (const record of heard) {
-            const held = this.view.getMember(record.nodeId);
-            if (held !== undefined && mergeMember(record, held) !== record) {
-                corrections.push(held);
+        for (const record of received) {
+            const known = this.view.getMember(record.nodeId);
+            if (known !== undefined && mergeMember(record, known) !== record) {
+                corrections.push(known);
             }
         }
         return corrections;
@@ -153,24 +153,24 @@
         return [...members.values()];
     }
 
-    private applyWholeView(members: readonly Member[], now: number): void {
-        this.isApplyingWholeView = true;
+    private applyFullView(members: readonly Member[], now: number): void {
+        this.isApplyingFullView = true;
         try {
             this.view.applyWholeView(members, now);
         }
         finally {
-            this.isApplyingWholeView = false;
+            this.isApplyingFullView = false;
         }
     }
 
     private queueChange(change: MemberChange): void {
-        // A new version reaches the others with the next heartbeats; to pass on each node's would cost the square.
+        // The next heartbeats carry a new version. Relaying each node's version would cost messages quadratic in the nodes.
         if (change.isVersionOnly) {
             return;
         }
-        // The others know what stands in a peer's whole view; only what this node has made of it is new to them.
-        const isOwnWord = change.member.state === MemberState.Suspect || change.member === this.view.getSelf();
-        if (!this.isApplyingWholeView || isOwnWord) {
+        // The other nodes already know the records of a peer's full view, except for those that this node has changed.
+        const isOwnChange = change.member.state === MemberState.Suspect || change.member === this.view.getSelf();
+        if (!this.isApplyingFullView || isOwnChange) {
             this.queue.add(change.member);
         }
     }
--- a/src/process/membership/gossipPayloads.ts
+++ b/src/process/membership/gossipPayloads.ts
@@ -6,17 +6,17 @@
     EndpointRecordSchema,
 } from "../../wire/generated/foxlead/peer/v1/peer_pb.ts";
 
-/** What rides on gossip beside the membership. The membership does not look into it. */
+/** Records sent along with gossip messages. The membership code does not interpret them. */
 export interface GossipPayloads {
     /**
      * Gets endpoint records to send now.
-     * @param budgetBytes - Most bytes that their encoded form may take.
+     * @param budgetBytes - Most bytes of the encoded records.
      */
     collectEndpointRecords(budgetBytes: number): MessageInitShape<typeof EndpointRecordSchema>[];
-    /** Takes in the endpoint records of a peer. */
+    /** Applies the endpoint records of a peer. */
     applyEndpointRecords(records: EndpointRecord[]): void;
-    /** Gets the own demand records to send now, within so many bytes. */
+    /** Gets this node's demand records to send now, with at most the given encoded size. */
     collectDemandRecords(budgetBytes: number): MessageInitShape<typeof DemandRecordSchema>[];
-    /** Takes in the demand that a peer reported of itself. */
+    /** Applies the demand records of a peer. */
     applyDemandRecords(records: DemandRecord[], fromNodeId: string): void;
 }
--- a/src/process/membership/gossiper.ts
+++ b/src/process/membership/gossiper.ts
@@ -17,37 +17,38 @@
 const defaultFullMeshPeers = 8;
 const defaultFanOut = 3;
 const defaultPullIntervalMilliseconds = 60_000;
-/** Share of the interval by which a round comes earlier or later. */
-const jitter = 0.2;
-/** Options of a gossiper. */
+/** Largest jitter of a round, as a share of the interval. */
+const jitterRatio = 0.2;
+
+/** Options of a {@link Gossiper}. */
 interface GossiperOptions {
     view: MembershipView;
     payloads: GossipPayloads;
     clock: Clock;
     random: RandomSource;
     log: EventLog;
-    /** Calls Gossip at an address; it must end by itself within a deadline. */
+    /** Calls Gossip at an address. The call must have its own timeout. */
     callGossip(address: string, request: GossipRequest): Promise<Result<GossipResponse, PeerError>>;
-    /** Called when a peer reports a version of the configuration that is higher than the own one. */
+    /** Called when a peer reports a higher configuration version than this node's. */
     onPeerConfigurationVersion(version: number, peerAddress: string): void;
     /** Mean time between two rounds in milliseconds. Default 500. */
     intervalMilliseconds?: number;
-    /** Up to this many peers, all are contacted in each round. Default 8, a full mesh of 9 nodes. */
+    /** All peers are contacted in each round if there are at most this many. Default 8, a full mesh of 9 nodes. */
     fullMeshPeers?: number;
-    /** Peers that are contacted in one round where there are more. Default 3, so that 340 nodes keep to their budget. */
+    /** Peers contacted in each round if there are more. Default 3, so that 340 nodes stay within their budget. */
     fanOut?: number;
-    /** Mean time between two pulls of a peer's whole view in milliseconds. Default 60000. */
+    /** Mean time between two pulls of a peer's full view in milliseconds. Default 60000. */
     pullIntervalMilliseconds?: number;
-    /** Most recent changes of the membership in one message. Default 8. */
+    /** Most membership changes in one message. Default 8. */
     piggybackLimit?: number;
     /** Most bytes of endpoint and demand records in one message. Default 256. */
     payloadBudgetBytes?: number;
 }
 
 /**
- * Exchanges heartbeats with peers in rounds. A peer that misses twice, the second time over a new connection, is
- * suspected; the suspicion travels to others, some of which check it out of turn, and its refutation travels back:
- * that is the indirect check.
+ * Exchanges heartbeats with peers in rounds. A peer that does not answer twice, the second time over a new connection, is
+ * suspected. The suspicion spreads to other nodes, some of which check the peer out of turn, and its refutation spreads
+ * back. This replaces the indirect probes of SWIM.
  */
 export class Gossiper {
     private readonly options: GossiperOptions;
@@ -79,36 +80,36 @@
         });
     }
 
-    /** Creates a gossiper that does nothing before {@link Gossiper.start}. */
+    /** Creates a gossiper that sends nothing before {@link Gossiper.start}. */
     static create(options: GossiperOptions): Gossiper {
         return new Gossiper(options);
     }
 
-    /** Starts the rounds with one at once. */
+    /** Starts the rounds. The first one runs immediately. */
     start(): void {
         this.runRound();
     }
 
-    /** Stops the rounds; exchanges that are under way end by themselves. */
+    /** Stops the rounds. Exchanges in flight end by themselves. */
     stop(): void {
         this.isStopped = true;
         this.timer?.cancel();
         this.unsubscribe();
     }
 
-    /** Gets the monotonic time in milliseconds of the last good exchange with any peer, undefined before the first. */
+    /** Gets the monotonic time in milliseconds of the last successful exchange with any peer, if there was one. */
     getLastContact(): number | undefined {
         return this.lastContact;
     }
 
-    /** Answers the Gossip call of a peer. */
+    /** Handles a peer's Gossip call. */
     handleGossip(request: GossipRequest): GossipResponse {
         const now = this.options.clock.getMonotonicTime();
         this.lastContact = now;
         return this.exchange.answer(request, now);
     }
 
-    /** Marks the own node as leaving and tells one round of peers at once. Ends when they have answered or missed. */
+    /** Marks this node as leaving and notifies one round of peers. Resolves when they have answered or failed to. */
     async announceLeaving(): Promise<void> {
         this.view.announceLeaving();
         await Promise.all(this.chooser.choosePeers().map(contact => this.callHeartbeat(contact)));
@@ -124,7 +125,7 @@
             void this.contact(contact);
         }
         const interval = this.options.intervalMilliseconds ?? defaultIntervalMilliseconds;
-        const delay = interval * (1 + jitter * (2 * this.options.random() - 1));
+        const delay = interval * (1 + jitterRatio * (2 * this.options.random() - 1));
         this.timer = this.options.clock.setTimer(delay, () => this.runRound());
     }
 
@@ -149,7 +150,7 @@
         const request = this.exchange.createHeartbeat(member);
         let result = await this.options.callGossip(contact.address, request);
         if (result.err && result.val.kind === PeerErrorKind.TimedOut) {
-            // The connection has been replaced; a peer that lives answers over the new one.
+            // The connection has been replaced. A peer that is alive answers over the new one.
             result = await this.options.callGossip(contact.address, request);
         }
         const now = this.options.clock.getMonotonicTime();
@@ -181,7 +182,7 @@
     }
 }
 
-/** An error that says nothing of the peer's health, such as a full queue of this node, is no miss. */
+/** Gets if an error counts against the peer's health. Others, such as a full queue of this node, do not. */
 function isMiss(kind: PeerErrorKind): boolean {
     return kind === PeerErrorKind.TimedOut || kind === PeerErrorKind.Unreachable;
 }
--- a/src/process/membership/isWatcher.ts
+++ b/src/process/membership/isWatcher.ts
@@ -5,11 +5,11 @@
 const defaultWatcherCount = 3;
 
 /**
- * Whether a node watches the configuration in the platform's service. A few do, as each waiting watch counts as a call;
- * the others hear of changes from them.
- * @param nodeId - The node.
- * @param members - Members that can hold duties.
- * @param owners - Assigns the duty.
+ * Gets if a node watches the configuration in the platform's key-value store. Only a few nodes do, because each open watch
+ * counts as a store call. The others receive changes from them.
+ * @param nodeId - Id of the node.
+ * @param members - Members to choose the watchers from.
+ * @param owners - Assigns the watchers.
  * @param count - Number of watchers.
  */
 export function isWatcher(
--- a/src/process/membership/logMemberChange.ts
+++ b/src/process/membership/logMemberChange.ts
@@ -13,10 +13,10 @@
 };
 
 /**
- * Writes the event of a change of state.
- * @param log - Where to write.
- * @param change - The change.
- * @param self - Record of the own node.
+ * Logs a change of a member's state, or that this node has refuted a suspicion.
+ * @param log - Log to write to.
+ * @param change - Change of the membership.
+ * @param self - Record of this node.
  */
 export function logMemberChange(log: EventLog, change: MemberChange, self: Member): void {
     const { member, previous } = change;
--- a/src/process/membership/member.ts
+++ b/src/process/membership/member.ts
@@ -1,15 +1,15 @@
 import type { MemberState } from "./memberState.ts";
 
-/** What one node knows of another, or of itself. Records are values: a change makes a new one. */
+/** Record of a node. It is immutable: a change creates a new record. */
 export interface Member {
-    /** Unique name of the node. */
+    /** Unique id of the node. */
     readonly nodeId: string;
-    /** Only the node itself raises it; a higher one beats every record with a lower one. */
+    /** Increased only by the node itself. A record with a higher incarnation supersedes all with a lower one. */
     readonly incarnation: number;
     readonly state: MemberState;
     /** host:port of the peer listener. */
     readonly peerAddress: string;
     readonly dataCentre: string;
-    /** Version of the configuration that the node had in force when it was last heard of. */
+    /** Last known configuration version of the node. */
     readonly configurationVersion: number;
 }
--- a/src/process/membership/memberChange.ts
+++ b/src/process/membership/memberChange.ts
@@ -1,11 +1,11 @@
 import type { Member } from "./member.ts";
 
-/** A change of a membership view. */
+/** Change of a member in a membership view. */
 export interface MemberChange {
-    /** The record as it stands now. */
+    /** Record after the change. */
     member: Member;
-    /** The record before; undefined where the member was unknown. */
+    /** Record before the change; undefined if the member was unknown. */
     previous: Member | undefined;
-    /** Whether nothing but the configuration version differs. */
+    /** Whether only the configuration version differs. */
     isVersionOnly: boolean;
 }
--- a/src/process/membership/memberCodec.ts
+++ b/src/process/membership/memberCodec.ts
@@ -5,7 +5,7 @@
 
 const states: ReadonlySet<string> = new Set(Object.values(MemberState));
 
-/** Turns member records into their wire form and back. */
+/** Encodes and decodes member records. */
 export const memberCodec = {
     /** Encodes a record. */
     encode(member: Member): MemberRecord {
@@ -16,7 +16,7 @@
         });
     },
 
-    /** Decodes the records that make sense; others, of a newer release perhaps, are left out. */
+    /** Decodes records. Skips invalid ones, which a newer release may send. */
     decodeAll(records: readonly MemberRecord[]): Member[] {
         const members: Member[] = [];
         for (const record of records) {
--- a/src/process/membership/memberState.ts
+++ b/src/process/membership/memberState.ts
@@ -1,10 +1,10 @@
-/** What is believed of a member. */
+/** States of a member. */
 export const MemberState = {
-    /** It answers, or no one has said otherwise. */
+    /** It responds, or no node has reported otherwise. */
     Alive: "alive",
-    /** Someone could not reach it; it may still refute that. */
+    /** A node could not reach it. It may still refute the suspicion. */
     Suspect: "suspect",
-    /** It finishes its requests and takes no new duty. */
+    /** It completes its requests and is assigned no new work. */
     Leaving: "leaving",
     /** It did not refute a suspicion in time. */
     Dead: "dead",
--- a/src/process/membership/memberTimers.ts
+++ b/src/process/membership/memberTimers.ts
@@ -1,73 +1,75 @@
 import type { Member } from "./member.ts";
 import { MemberState } from "./memberState.ts";
 
-/** Own misses of a member are ignored for so many suspicion timeouts after others showed that it lives. */
+/** Misses by this node are ignored for this many suspicion timeouts after other nodes showed that a member is alive. */
 const ignoredMissTimeouts = 4;
 
-/** Local times that belong to a member; they are not part of its record. */
+/** Local times of a member that are not part of its record. */
 interface MemberTimes {
-    /** When a suspicion ends in death. */
+    /** When the member is declared dead. */
     suspicionDeadline?: number;
-    /** Whether this node was the one that raised the suspicion. */
+    /** Whether this node raised the suspicion. */
     isOwnSuspicion?: boolean;
-    /** Until when this node's own misses do not count. */
+    /** Until when misses by this node are ignored. */
     missesIgnoredUntil?: number;
-    /** When a dead record is forgotten. */
-    forgetAt?: number;
+    /** When the record of a dead member is removed. */
+    removeAt?: number;
 }
 
-/** The times at which a view has to act on its members. All times are monotonic milliseconds. */
+/** Timeouts of the members of a view. All times are monotonic milliseconds. */
 export class MemberTimers {
-    private readonly suspicionTimeout: number;
-    private readonly deadRetention: number;
+    private readonly suspicionTimeoutMilliseconds: number;
+    private readonly deadRetentionMilliseconds: number;
     private readonly times = new Map<string, MemberTimes>();
 
-    private constructor(suspicionTimeout: number, deadRetention: number) {
-        this.suspicionTimeout = suspicionTimeout;
-        this.deadRetention = deadRetention;
+    private constructor(suspicionTimeoutMilliseconds: number, deadRetentionMilliseconds: number) {
+        this.suspicionTimeoutMilliseconds = suspicionTimeoutMilliseconds;
+        this.deadRetentionMilliseconds = deadRetentionMilliseconds;
     }
 
     /**
-     * Creates an empty set.
-     * @param suspicionTimeout - Milliseconds that a suspect has to refute.
-     * @param deadRetention - Milliseconds that a dead member is remembered.
+     * Creates timers without members.
+     * @param suspicionTimeoutMilliseconds - Time that a suspect has to refute the suspicion.
+     * @param deadRetentionMilliseconds - Time that the record of a dead member is kept.
      */
-    static create(suspicionTimeout: number, deadRetention: number): MemberTimers {
-        return new MemberTimers(suspicionTimeout, deadRetention);
+    static create(suspicionTimeoutMilliseconds: number, deadRetentionMilliseconds: number): MemberTimers {
+        return new MemberTimers(suspicionTimeoutMilliseconds, deadRetentionMilliseconds);
     }
 
-    /** Sets the times that follow from a change of a record. */
-    update(held: Member | undefined, merged: Member, now: number): void {
-        if (held?.state === merged.state && held.incarnation === merged.incarnation) {
+    /** Updates the times of a member after its record changed. */
+    update(previous: Member | undefined, current: Member, now: number): void {
+        if (previous?.state === current.state && previous.incarnation === current.incarnation) {
             return;
         }
-        const times = this.getTimes(merged.nodeId);
-        const isRefuted = held?.state === MemberState.Suspect && merged.incarnation > held.incarnation;
+        const times = this.getTimes(current.nodeId);
+        const isRefuted = previous?.state === MemberState.Suspect && current.incarnation > previous.incarnation;
         if (isRefuted && times.isOwnSuspicion === true) {
-            times.missesIgnoredUntil = now + ignoredMissTimeouts * this.suspicionTimeout;
+            times.missesIgnoredUntil = now + ignoredMissTimeouts * this.suspicionTimeoutMilliseconds;
         }
         times.isOwnSuspicion = false;
-        times.suspicionDeadline = merged.state === MemberState.Suspect ? now + this.suspicionTimeout : undefined;
-        times.forgetAt = merged.state === MemberState.Dead ? now + this.deadRetention : undefined;
+        times.suspicionDeadline = current.state === MemberState.Suspect
+            ? now + this.suspicionTimeoutMilliseconds
+            : undefined;
+        times.removeAt = current.state === MemberState.Dead ? now + this.deadRetentionMilliseconds : undefined;
     }
 
-    /** Whether a miss by this node says nothing, as others have just shown that the member lives. */
+    /** Gets if a miss by this node is ignored because other nodes have recently shown that the member is alive. */
     isMissIgnored(nodeId: string, now: number): boolean {
         const until = this.times.get(nodeId)?.missesIgnoredUntil;
         return until !== undefined && now < until;
     }
 
-    /** Notes that this node raised the suspicion. */
+    /** Records that this node raised the suspicion. */
     noteOwnSuspicion(nodeId: string): void {
         this.getTimes(nodeId).isOwnSuspicion = true;
     }
 
-    /** Starts the time after which a member that is suspected or leaving counts as dead, where it does not run yet. */
+    /** Starts the deadline after which a suspected or leaving member is declared dead, unless it is already running. */
     startDeadline(nodeId: string, now: number): void {
-        this.getTimes(nodeId).suspicionDeadline ??= now + this.suspicionTimeout;
+        this.getTimes(nodeId).suspicionDeadline ??= now + this.suspicionTimeoutMilliseconds;
     }
 
-    /** Notes an answer of a member; only for a leaving one does it end the deadline. */
+    /** Records an answer of a member. It cancels the deadline only for a leaving member. */
     noteContact(nodeId: string, state: MemberState | undefined): void {
         const times = this.times.get(nodeId);
         if (times === undefined) {
@@ -84,23 +86,23 @@
         return this.find(times => times.suspicionDeadline !== undefined && now >= times.suspicionDeadline);
     }
 
-    /** Removes and gets the dead members that need not be remembered any longer. */
+    /** Gets and removes the dead members whose retention has ended. */
     takeForgotten(now: number): string[] {
-        const forgotten = this.find(times => times.forgetAt !== undefined && now >= times.forgetAt);
-        for (const nodeId of forgotten) {
+        const removed = this.find(times => times.removeAt !== undefined && now >= times.removeAt);
+        for (const nodeId of removed) {
             this.times.delete(nodeId);
         }
-        return forgotten;
+        return removed;
     }
 
-    private find(isWanted: (times: MemberTimes) => boolean): string[] {
-        return [...this.times].filter(([, times]) => isWanted(times)).map(([nodeId]) => nodeId);
+    private find(predicate: (times: MemberTimes) => boolean): string[] {
+        return [...this.times].filter(([, times]) => predicate(times)).map(([nodeId]) => nodeId);
     }
 
     private getTimes(nodeId: string): MemberTimes {
-        const known = this.times.get(nodeId);
-        if (known !== undefined) {
-            return known;
+        const existing = this.times.get(nodeId);
+        if (existing !== undefined) {
+            return existing;
         }
         const times: MemberTimes = {};
         this.times.set(nodeId, times);
--- a/src/process/membership/membershipView.ts
+++ b/src/process/membership/membershipView.ts
@@ -11,9 +11,10 @@
 const defaultDeadRetentionMilliseconds = 3_600_000;
 
 /**
- * What one node believes of all nodes: a state machine without input or output, after SWIM (Das, Gupta, Motivala,
- * DSN 2002) with its suspicion and incarnation numbers. Times are monotonic milliseconds given by the caller.
- * A wrong view may cost speed; nothing that must be safe may depend on it.
+ * One node's view of all nodes. A state machine without I/O that follows SWIM (Das, Gupta, Motivala, DSN 2002) with its
+ * suspicions and incarnation numbers. Times are monotonic milliseconds passed by the caller.
+ *
+ * The view may be wrong. That may cost performance, but correctness must not depend on it.
  */
 export class MembershipView {
     private self: Member;
@@ -39,7 +40,7 @@
         );
     }
 
-    /** Creates a view that knows only its own node. */
+    /** Creates a view that contains only its own node. */
     static create(options: MembershipViewOptions): MembershipView {
         return new MembershipView(options);
     }
@@ -49,30 +50,30 @@
         return this.self;
     }
 
-    /** Gets the record of a member, dead ones included while they are remembered. */
+    /** Gets the record of a member. Dead members are included while they are retained. */
     getMember(nodeId: string): Member | undefined {
         return this.members.get(nodeId);
     }
 
-    /** Gets all records, dead ones included. */
+    /** Gets all records, including dead members. */
     getMembers(): Member[] {
         return [...this.members.values()];
     }
 
     /**
-     * Gets the members that can hold duties, the own node included: those alive, and those suspected, which SWIM counts
-     * as members until the suspicion is confirmed. One node's broken link thus moves no duty.
+     * Gets the alive members, including this node. Suspected members are included, because SWIM counts them as members
+     * until the suspicion is confirmed. A broken link of one node therefore moves no work between nodes.
      */
     getAliveMembers(): Member[] {
-        return this.getMembers().filter(member => isCounted(member.state));
+        return this.getMembers().filter(member => isAliveOrSuspect(member.state));
     }
 
-    /** Gets addresses from the VM list that no known member has. */
+    /** Gets the addresses of the VM list that belong to no known member. */
     getSeedAddresses(): string[] {
         return this.seeds.getUnresolved(this.members.values());
     }
 
-    /** Gets dead members that the VM list does not contradict: after a partition they may be back. */
+    /** Gets the dead members that may be alive according to the VM list, for example after a partition. */
     getReconnectionCandidates(): Member[] {
         return this.getMembers().filter(member => member.state === MemberState.Dead && this.seeds.mayLive(member));
     }
@@ -87,9 +88,9 @@
     }
 
     /**
-     * Merges records that a peer sent as recent changes.
-     * @param records - The records; those of the own node are refuted or adopted.
-     * @param now - Monotonic milliseconds.
+     * Merges the records of a peer's recent changes.
+     * @param records - Received records. Those of this node are refuted or adopted.
+     * @param now - Monotonic time in milliseconds.
      */
     applyRecords(records: Iterable<Member>, now: number): void {
         for (const record of records) {
@@ -98,26 +99,27 @@
     }
 
     /**
-     * Merges the whole view of a peer. Its dead members are only suspected where they are held as alive: after a
-     * partition each side holds the other as dead, and one side's view must not stop the other.
+     * Merges the full view of a peer. A member that is dead there but alive here only becomes suspected. After a
+     * partition each side considers the other dead, and one side's view must not take down the other.
      */
     applyWholeView(records: Iterable<Member>, now: number): void {
         for (const record of records) {
-            const held = this.members.get(record.nodeId);
-            const isContradicted = record.state === MemberState.Dead && held !== undefined && isCounted(held.state);
+            const current = this.members.get(record.nodeId);
+            const isContradicted = record.state === MemberState.Dead && current !== undefined
+                && isAliveOrSuspect(current.state);
             this.applyRecord(isContradicted ? { ...record, state: MemberState.Suspect } : record, now);
         }
     }
 
     /**
-     * Takes in the platform's list of machines, which lags: it seeds addresses, marks leaving machines once, and
-     * declares a suspect dead whose machine has gone. It never marks a member as alive.
+     * Applies the platform's VM list, which lags. It provides seed addresses, marks members on leaving VMs once, and
+     * declares suspects dead whose VM is no longer listed. It never marks a member as alive.
      */
     applyVmList(records: readonly VmRecord[], now: number): void {
         const difference = this.seeds.update(records);
         for (const vm of difference.newlyLeaving) {
             const member = this.findByVm(vm);
-            if (member !== undefined && isCounted(member.state)) {
+            if (member !== undefined && isAliveOrSuspect(member.state)) {
                 this.applyRecord({ ...member, state: MemberState.Leaving }, now);
             }
         }
@@ -129,19 +131,19 @@
         }
     }
 
-    /** Notes that a seed has answered, so that it is not tried again until the VM list changes. */
+    /** Records that a seed has answered, so that it is not contacted again until the VM list changes. */
     noteSeedAnswered(address: string): void {
         this.seeds.noteAnswered(address);
     }
 
-    /** Sets the version of the configuration that is in force here; a lower one is ignored. */
+    /** Sets the configuration version of this node. A lower one is ignored. */
     setConfigurationVersion(version: number): void {
         if (version > this.self.configurationVersion) {
             this.setSelf({ ...this.self, configurationVersion: version });
         }
     }
 
-    /** Marks the own node as leaving; it stays so. */
+    /** Marks this node as leaving. This can't be undone. */
     announceLeaving(): void {
         if (this.self.state !== MemberState.Leaving) {
             this.setSelf({ ...this.self, state: MemberState.Leaving, incarnation: this.self.incarnation + 1 });
@@ -149,9 +151,9 @@
     }
 
     /**
-     * Notes that a member did not answer. It is suspected, unless others have just shown that it lives.
-     * @param nodeId - The member.
-     * @param now - Monotonic milliseconds.
+     * Records that a member did not answer. It is suspected unless other nodes have recently shown that it is alive.
+     * @param nodeId - Id of the member.
+     * @param now - Monotonic time in milliseconds.
      */
     noteMiss(nodeId: string, now: number): void {
         const member = this.members.get(nodeId);
@@ -167,14 +169,14 @@
         }
     }
 
-    /** Notes that a member answered. A suspicion stays until the member refutes it, as its record has spread. */
+    /** Records that a member answered. A suspicion has already spread, so it stays until the member refutes it. */
     noteContact(nodeId: string): void {
         this.timers.noteContact(nodeId, this.members.get(nodeId)?.state);
     }
 
     /**
-     * Declares members dead that did not refute a suspicion in time, and forgets those that have been dead for long.
-     * @param now - Monotonic milliseconds.
+     * Declares members dead that did not refute a suspicion in time, and removes those whose retention has ended.
+     * @param now - Monotonic time in milliseconds.
      */
     advance(now: number): void {
         for (const nodeId of this.timers.getExpired(now)) {
@@ -193,16 +195,16 @@
             this.applyOwnRecord(record);
             return;
         }
-        const held = this.members.get(record.nodeId);
-        const merged = held === undefined ? record : mergeMember(held, record);
-        if (merged !== held) {
+        const current = this.members.get(record.nodeId);
+        const merged = current === undefined ? record : mergeMember(current, record);
+        if (merged !== current) {
             this.members.set(merged.nodeId, merged);
-            this.timers.update(held, merged, now);
-            this.notify(merged, held);
+            this.timers.update(current, merged, now);
+            this.notify(merged, current);
         }
     }
 
-    /** Only this process raises its incarnation, so a higher one comes from an earlier process of this node. */
+    /** Only this process increases its incarnation, so a higher one is from an earlier process of this node. */
     private applyOwnRecord(record: Member): void {
         if (record.incarnation > this.self.incarnation) {
             this.setSelf({ ...this.self, incarnation: record.incarnation + 1 });
@@ -235,11 +237,11 @@
     }
 
     private findByVm(vm: VmRecord): Member | undefined {
-        const named = this.members.get(vm.vm);
-        return named ?? this.getMembers().find(member => member.peerAddress === vm.address);
+        const member = this.members.get(vm.vm);
+        return member ?? this.getMembers().find(other => other.peerAddress === vm.address);
     }
 }
 
-function isCounted(state: MemberState): boolean {
+function isAliveOrSuspect(state: MemberState): boolean {
     return state === MemberState.Alive || state === MemberState.Suspect;
 }
--- a/src/process/membership/mergeMember.ts
+++ b/src/process/membership/mergeMember.ts
@@ -1,7 +1,7 @@
 import type { Member } from "./member.ts";
 import { MemberState } from "./memberState.ts";
 
-/** Within one incarnation a later state of this order beats an earlier one. */
+/** Within one incarnation, the state with the higher rank wins. */
 const stateRanks: Readonly<Record<MemberState, number>> = {
     [MemberState.Alive]: 0,
     [MemberState.Suspect]: 1,
@@ -10,21 +10,21 @@
 };
 
 /**
- * Merges two records of one node. The result does not depend on the order of the arguments, and merging a record
- * twice changes nothing, so that views converge whatever the order in which gossip arrives.
+ * Merges two records of a node. The merge is commutative, associative and idempotent, so that views converge in whatever
+ * order gossip arrives.
  *
  * The rules are those of SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
- * Membership Protocol", DSN 2002, section 4.2) with one difference: a dead record beats only records of its own or a
- * lower incarnation, so that a node which is declared dead by mistake can come back.
- * @param held - The record that is held.
- * @param heard - The record that has arrived. `held` itself is returned where `heard` brings nothing new.
+ * Membership Protocol", DSN 2002, section 4.2) with one difference: a dead record supersedes only records of the
+ * same or a lower incarnation, so that a node that was declared dead by mistake can rejoin.
+ * @param current - Current record. It is returned itself if the received record changes nothing.
+ * @param received - Received record.
  */
-export function mergeMember(held: Member, heard: Member): Member {
-    if (heard.incarnation !== held.incarnation) {
-        return heard.incarnation > held.incarnation ? heard : held;
+export function mergeMember(current: Member, received: Member): Member {
+    if (received.incarnation !== current.incarnation) {
+        return received.incarnation > current.incarnation ? received : current;
     }
-    const winner = compareSameIncarnation(heard, held) > 0 ? heard : held;
-    const configurationVersion = Math.max(held.configurationVersion, heard.configurationVersion);
+    const winner = compareSameIncarnation(received, current) > 0 ? received : current;
+    const configurationVersion = Math.max(current.configurationVersion, received.configurationVersion);
     return winner.configurationVersion === configurationVersion ? winner : { ...winner, configurationVersion };
 }
 
@@ -33,7 +33,7 @@
     if (byState !== 0) {
         return byState;
     }
-    // The last two keep the merge free of order where two processes ran under one name.
+    // The last two comparisons keep the merge commutative if two processes ran with the same id.
     const byAddress = compareText(left.peerAddress, right.peerAddress);
     return byAddress !== 0 ? byAddress : compareText(left.dataCentre, right.dataCentre);
 }
--- a/src/process/membership/peerRotation.ts
+++ b/src/process/membership/peerRotation.ts
@@ -1,13 +1,13 @@
 import type { RandomSource } from "../randomSource.ts";
 
 /**
- * Goes round the members in a random order that is drawn anew after each full turn: each is contacted once a turn, so
- * the time to notice a silent one is bounded (SWIM, section 4.3).
+ * Round-robin selection of peers in a random order that is reshuffled after each cycle. Each peer is contacted once per
+ * cycle, which bounds the time to detect a failed one (SWIM, section 4.3).
  */
 export class PeerRotation {
     private readonly random: RandomSource;
     private order: string[] = [];
-    private readonly urgent = new Set<string>();
+    private readonly preferred = new Set<string>();
 
     private constructor(random: RandomSource) {
         this.random = random;
@@ -18,30 +18,30 @@
         return new PeerRotation(random);
     }
 
-    /** Puts a member before the others for the next round. */
+    /** Prioritizes a member in the next selection. */
     prefer(nodeId: string): void {
-        this.urgent.add(nodeId);
+        this.preferred.add(nodeId);
     }
 
     /**
-     * Takes the next members to contact.
-     * @param nodeIds - All that may be contacted now.
-     * @param count - Most to take.
+     * Selects the next members to contact.
+     * @param nodeIds - Members that may be contacted.
+     * @param count - Most members to select.
      */
     take(nodeIds: readonly string[], count: number): string[] {
         const allowed = new Set(nodeIds);
-        const taken = new Set([...this.urgent].filter(nodeId => allowed.has(nodeId)).slice(0, count));
-        this.urgent.clear();
-        while (taken.size < Math.min(count, allowed.size)) {
+        const selected = new Set([...this.preferred].filter(nodeId => allowed.has(nodeId)).slice(0, count));
+        this.preferred.clear();
+        while (selected.size < Math.min(count, allowed.size)) {
             const next = this.order.pop();
             if (next === undefined) {
                 this.order = this.shuffle(nodeIds);
             }
             else if (allowed.has(next)) {
-                taken.add(next);
+                selected.add(next);
             }
         }
-        return [...taken];
+        return [...selected];
     }
 
     private shuffle(nodeIds: readonly string[]): string[] {
--- a/src/process/membership/rendezvousOwners.ts
+++ b/src/process/membership/rendezvousOwners.ts
@@ -1,14 +1,14 @@
 import createHasher, { type XXHashAPI } from "xxhash-wasm";
 
-/** A node with its weight for one key. */
-interface WeighedNode {
+/** A node and its weight for a key. */
+interface WeightedNode {
     nodeId: string;
     weight: number;
 }
 
 /**
  * Assigns keys to nodes by rendezvous hashing (Thaler, Ravishankar: "Using name-based mappings to increase hit rates",
- * IEEE/ACM Transactions on Networking, 1998): when a node goes, only its own keys move.
+ * IEEE/ACM Transactions on Networking, 1998): when a node is removed, only its own keys move.
  */
 export class RendezvousOwners {
     private readonly hasher: XXHashAPI;
@@ -23,23 +23,23 @@
     }
 
     /**
-     * Gets the owners of a key, the first one first. The order of `nodeIds` does not matter.
-     * @param key - Name of what is to be owned.
+     * Gets the owners of a key in order of preference. The order of `nodeIds` does not matter.
+     * @param key - Key to assign.
      * @param nodeIds - Nodes to choose from.
      * @param count - Most owners to return.
      */
     getOwners(key: string, nodeIds: Iterable<string>, count: number): string[] {
         const seed = this.hasher.h32(key);
-        const weighed: WeighedNode[] = [];
+        const weighted: WeightedNode[] = [];
         for (const nodeId of nodeIds) {
-            weighed.push({ nodeId, weight: this.hasher.h32(nodeId, seed) });
+            weighted.push({ nodeId, weight: this.hasher.h32(nodeId, seed) });
         }
-        weighed.sort(compareWeight);
-        return weighed.slice(0, count).map(node => node.nodeId);
+        weighted.sort(compareWeight);
+        return weighted.slice(0, count).map(node => node.nodeId);
     }
 }
 
-function compareWeight(left: WeighedNode, right: WeighedNode): number {
+function compareWeight(left: WeightedNode, right: WeightedNode): number {
     if (left.weight !== right.weight) {
         return right.weight - left.weight;
     }
--- a/src/process/membership/seedList.ts
+++ b/src/process/membership/seedList.ts
@@ -1,17 +1,17 @@
 import type { VmRecord } from "../platform/vmList.ts";
 import type { Member } from "./member.ts";
 
-/** What has changed between two VM lists. */
+/** Difference between two VM lists. */
 interface VmListDifference {
-    /** Machines that are leaving and were not in the list before. */
+    /** VMs that are leaving and were not leaving in the previous list. */
     newlyLeaving: VmRecord[];
-    /** Machines that were listed before and are no longer. */
+    /** VMs of the previous list that are no longer listed. */
     gone: VmRecord[];
 }
 
 /**
- * The nodes of the platform's VM list. Only differences are acted upon: a list that still shows a machine as leaving
- * after it was replaced under the same name says nothing of the new one.
+ * Nodes of the platform's VM list. Only differences between lists are used: a list that still shows a VM as leaving after
+ * it was replaced under the same name does not apply to the new VM.
  */
 export class SeedList {
     private readonly ownAddress: string;
@@ -24,13 +24,13 @@
 
     /**
      * Creates an empty list.
-     * @param ownAddress - host:port of the own peer listener, which is never a seed.
+     * @param ownAddress - host:port of this node's peer listener, which is never a seed.
      */
     static create(ownAddress: string): SeedList {
         return new SeedList(ownAddress);
     }
 
-    /** Replaces the list and gets what has changed. */
+    /** Replaces the list and gets the difference to the previous one. */
     update(records: readonly VmRecord[]): VmListDifference {
         const previous = this.vms;
         this.vms = new Map(records.filter(record => record.role === "node").map(record => [record.vm, record]));
@@ -43,12 +43,12 @@
         return { newlyLeaving, gone };
     }
 
-    /** Notes that an address has answered. */
+    /** Records that an address has answered. */
     noteAnswered(address: string): void {
         this.answered.add(address);
     }
 
-    /** Gets the listed addresses that have not answered and that no given member has. */
+    /** Gets the listed addresses that have not answered and belong to none of the members. */
     getUnresolved(members: Iterable<Member>): string[] {
         const known = new Set<string>([this.ownAddress, ...this.answered]);
         for (const member of members) {
@@ -57,7 +57,7 @@
         return [...this.vms.values()].map(record => record.address).filter(address => !known.has(address));
     }
 
-    /** Whether the list leaves it open that a member lives; always so while no list was ever read. */
+    /** Gets if a member may be alive according to the list. Always true while the list is empty. */
     mayLive(member: Member): boolean {
         if (this.vms.size === 0) {
             return true;
--- a/src/process/membership/unstretchedNodes.ts
+++ b/src/process/membership/unstretchedNodes.ts
@@ -1,2 +1,2 @@
-/** Up to so many nodes, all talk to all and rare work is done at its full rate. */
+/** Most nodes for which all nodes contact each other and periodic background work runs at its full rate. */
 export const unstretchedNodes = 9;
