--- a/src/process/claims/claimRing.ts
+++ b/src/process/claims/claimRing.ts
@@ -100,7 +100,7 @@
         if (slot >= this.size || batch.number % this.size !== slot) {
             return Err(
                 `Slot ${slot} holds batch ${batch.number}, which does not belong there in a ring of`
-                    + ` ${this.size} slots. Restore the claim settings that the log was written with in the configuration.`,
+                    + ` ${this.size} slots. In the configuration, restore the claims settings that the log was written with.`,
             );
         }
         if (known !== undefined && batch.number <= known.number) {
--- a/src/process/claims/decideClaim.ts
+++ b/src/process/claims/decideClaim.ts
@@ -62,6 +62,6 @@
         outcome: ClaimOutcome.Taken,
         claimant,
         nodeId,
-        message: "The request with this idempotency key was already started. Ask the given node for its response.",
+        message: "The request with this idempotency key was already started. Ask the named node for its response.",
     };
 }
--- a/src/process/membership/gossiper.ts
+++ b/src/process/membership/gossiper.ts
@@ -48,7 +48,7 @@
 /**
  * Exchanges heartbeats with peers in rounds. A peer that does not answer twice, the second time over a new connection, is
  * suspected. The suspicion spreads to other nodes, some of which check the peer out of turn, and its refutation spreads
- * back. This replaces the indirect probes of SWIM.
+ * back. This takes the place of SWIM's indirect probes.
  */
 export class Gossiper {
     private readonly options: GossiperOptions;
--- a/tests/process/claims/claimInterleavings.test.ts
+++ b/tests/process/claims/claimInterleavings.test.ts
@@ -10,24 +10,24 @@
 import { ScheduledTime } from "./scheduledTime.ts";
 
 const hour = 3_600_000;
-/** Longer than a slot is kept, so that the ring goes round. */
+/** Longer than a slot is kept, so that the ring wraps around. */
 const longPause = 150_000;
 const ringSize = 3;
 const owners = 3;
 const keysPerPause = 4;
 
-/** One step of a run: time that passes, then a claim. */
+/** Step of a run: a delay, then a claim. */
 interface Step {
     passMilliseconds: number;
     owner: number;
-    /** Key among those since the last long pause. */
+    /** Index among the keys used since the last long pause. */
     key: number;
-    /** Long pauses since the key was first used. */
+    /** Number of long pauses since the key was first used. */
     age: number;
     body: string;
-    /** Whether the owner forgets the shard first, as in a takeover. */
+    /** Whether the owner discards the shard's state first, as in a takeover. */
     isTakeover: boolean;
-    /** Whether the last claimant asks again, at another owner too, for it has heard nothing. */
+    /** Whether the last claimant retries because it has no verdict yet, possibly at another owner. */
     isRepeat: boolean;
 }
 
@@ -38,7 +38,7 @@
     verdict: ClaimVerdict;
 }
 
-const fate = fc.oneof(
+const callBehavior = fc.oneof(
     { weight: 8, arbitrary: fc.constant<Fate>("answered") },
     { weight: 4, arbitrary: fc.constantFrom<Fate>("lostAnswer", "lostRequest", "lateWrite", "notDone") },
 );
@@ -53,11 +53,11 @@
 });
 const skews = fc.array(fc.constantFrom(0, 0, -hour, hour, -30_000), { minLength: owners, maxLength: owners });
 
-/** Runs the steps in an interleaving and returns all answers. */
-async function run(scheduler: fc.Scheduler, steps: Step[], fates: Fate[], skewOf: number[]): Promise<Answer[]> {
+/** Runs the steps in one interleaving and gets all answers. */
+async function run(scheduler: fc.Scheduler, steps: Step[], behaviors: Fate[], skewOf: number[]): Promise<Answer[]> {
     const time = ScheduledTime.create(scheduler);
     const grants = GrantLedger.create({ rememberMilliseconds: Infinity });
-    const store = createScheduledStore(scheduler, () => fates.pop() ?? "answered");
+    const store = createScheduledStore(scheduler, () => behaviors.pop() ?? "answered");
     const nodes = skewOf.map((skew, index) =>
         ClaimOwner.create({
             store,
@@ -77,14 +77,19 @@
     const keys = new Map<number, string>();
     const answers: Answer[] = [];
     const running: Promise<unknown>[] = [];
-    let claimants = 0;
-    let pauses = 0;
+    let claimantCount = 0;
+    let pauseCount = 0;
     async function claim({ owner, key, age, body, isRepeat }: Step): Promise<void> {
-        const index = (pauses + 1 - age) * keysPerPause + key;
+        const index = (pauseCount + 1 - age) * keysPerPause + key;
         const keyText = keys.get(index) ?? createTestKey(time.get(), index);
         keys.set(index, keyText);
-        claimants += isRepeat ? 0 : 1;
-        const item = { key: keyText, bodyHash: body, claimant: `claimant${claimants}-${index}`, nodeId: `${owner}` };
+        claimantCount += isRepeat ? 0 : 1;
+        const item = {
+            key: keyText,
+            bodyHash: body,
+            claimant: `claimant${claimantCount}-${index}`,
+            nodeId: `${owner}`,
+        };
         for (const verdict of await nodes[owner]?.claim(0, [item]) ?? []) {
             answers.push({ owner, key: keyText, claimant: item.claimant, verdict });
         }
@@ -93,7 +98,7 @@
         for (const each of steps) {
             await scheduler.schedule(Promise.resolve(), "step");
             time.advance(each.passMilliseconds);
-            pauses += each.passMilliseconds === longPause ? 1 : 0;
+            pauseCount += each.passMilliseconds === longPause ? 1 : 0;
             if (each.isTakeover) {
                 nodes[each.owner]?.releaseShard(0);
             }
@@ -106,7 +111,7 @@
     return answers;
 }
 
-/** Checks what must hold over all owners. */
+/** Checks that no key was granted to two claimants. */
 function check(answers: Answer[]): void {
     const grantedTo = new Map<string, string>();
     for (const { key, claimant, verdict } of answers) {
@@ -117,27 +122,27 @@
     }
 }
 
-describe("claims under interleavings", () => {
-    it("grants a key to one claimant over all owners", async () => {
-        const seen = new Map<string, number>();
+describe("claims in random interleavings", () => {
+    it("grants a key to only one claimant across all owners", async () => {
+        const outcomeCounts = new Map<string, number>();
         await fc.assert(
             fc.asyncProperty(
                 fc.scheduler(),
                 fc.array(step, { minLength: 10, maxLength: 40, size: "max" }),
-                fc.array(fate, { maxLength: 60, size: "max" }),
+                fc.array(callBehavior, { maxLength: 60, size: "max" }),
                 skews,
-                async (scheduler, steps, fates, skewOf) => {
-                    const answers = await run(scheduler, steps, fates, skewOf);
+                async (scheduler, steps, behaviors, skewOf) => {
+                    const answers = await run(scheduler, steps, behaviors, skewOf);
                     check(answers);
                     for (const { verdict } of answers) {
-                        seen.set(verdict.outcome, (seen.get(verdict.outcome) ?? 0) + 1);
+                        outcomeCounts.set(verdict.outcome, (outcomeCounts.get(verdict.outcome) ?? 0) + 1);
                     }
                 },
             ),
             { seed: 20_260_101, numRuns: 300 },
         );
         for (const outcome of ["granted", "taken", "body_mismatch", "too_old", "unavailable"]) {
-            assert.ok(seen.has(outcome), `No run led to ${outcome}`);
+            assert.ok(outcomeCounts.has(outcome), `No run had the outcome ${outcome}`);
         }
     });
 });
--- a/tests/process/claims/claimOwner.test.ts
+++ b/tests/process/claims/claimOwner.test.ts
@@ -13,7 +13,7 @@
 const longPause = 150_000;
 const hour = 3_600_000;
 
-function createBench(beforeCall?: (store: MemoryStore, method: string) => void) {
+function createFixture(beforeCall?: (store: MemoryStore, method: string) => void) {
     const clock = FakeClock.create();
     const store: MemoryStore = MemoryStore.create({ beforeCall: method => beforeCall?.(store, method) });
     let owners = 0;
@@ -46,18 +46,18 @@
     };
 }
 
-/** Gets a clock whose wall time is wrong. */
-function moveWallTime(clock: Clock, milliseconds: number): Clock {
+/** Creates a clock with a wall time that is off by the given offset. */
+function createSkewedClock(clock: Clock, offsetMilliseconds: number): Clock {
     return {
         getMonotonicTime: () => clock.getMonotonicTime(),
-        getWallTime: () => clock.getWallTime() + milliseconds,
+        getWallTime: () => clock.getWallTime() + offsetMilliseconds,
         setTimer: (delay, callback) => clock.setTimer(delay, callback),
     };
 }
 
 describe("ClaimOwner", () => {
-    it("does not call a key unclaimed after its duty has moved, before it has read on", async () => {
-        const { clock, store, createOwner, createKey, claim } = createBench();
+    it("does not report a key as unclaimed before it has read the appends of the interim owner", async () => {
+        const { clock, store, createOwner, createKey, claim } = createFixture();
         const [first, second] = [createOwner(), createOwner()];
         const [known, unseen] = [createKey(1), createKey(2)];
         await claim(first, createKey(0), "x");
@@ -73,8 +73,8 @@
         assert.equal(verdict.isUnclaimed, undefined);
     });
 
-    it("reads on to the last of several appends after its duty has moved", async () => {
-        const { clock, store, createOwner, createKey, claim } = createBench();
+    it("reads all appends of the interim owner after a refresh", async () => {
+        const { clock, store, createOwner, createKey, claim } = createFixture();
         const [first, second] = [createOwner(), createOwner()];
         await claim(first, createKey(0), "x");
         const keys = [createKey(1), createKey(2)];
@@ -89,8 +89,8 @@
         }
     });
 
-    it("calls a key unclaimed where it has read the shard and the service is down", async () => {
-        const { store, createOwner, createKey, claim } = createBench();
+    it("reports a key as unclaimed if the shard has been read and the store is down", async () => {
+        const { store, createOwner, createKey, claim } = createFixture();
         const owner = createOwner();
         await claim(owner, createKey(0), "x");
         store.setDown(true);
@@ -99,8 +99,8 @@
         assert.equal(verdict.isUnclaimed, true);
     });
 
-    it("grants a key to the first claimant, at each owner and each time it asks", async () => {
-        const { createOwner, createKey, claim } = createBench();
+    it("grants a key only to the first claimant, at each owner and on each retry", async () => {
+        const { createOwner, createKey, claim } = createFixture();
         const [first, second] = [createOwner(), createOwner()];
         const key = createKey();
         assert.equal((await claim(first, key, "x")).outcome, "granted");
@@ -114,8 +114,8 @@
         }
     });
 
-    it("writes claims that come together in one append", async () => {
-        const { clock, store, createOwner, createKey } = createBench();
+    it("writes simultaneous claims in one append", async () => {
+        const { clock, store, createOwner, createKey } = createFixture();
         const items = Array.from({ length: 100 }, (_, index) => ({
             key: createKey(index),
             bodyHash: "body",
@@ -128,8 +128,8 @@
         assert.equal(store.getCallCount("compareAndSwap"), 1);
     });
 
-    it("grants after a lost answer, and not to another owner's claimant", async () => {
-        const { store, createOwner, createKey, claim } = createBench();
+    it("grants a key after a lost response, but not to another owner's claimant", async () => {
+        const { store, createOwner, createKey, claim } = createFixture();
         const [first, second] = [createOwner(), createOwner()];
         await claim(first, createKey(1), "w");
         const key = createKey(2);
@@ -139,7 +139,7 @@
     });
 
     it("refuses while the store is down and grants the key to the next claimant afterwards", async () => {
-        const { store, createOwner, createKey, claim } = createBench();
+        const { store, createOwner, createKey, claim } = createFixture();
         const owner = createOwner();
         const key = createKey();
         store.setDown(true);
@@ -148,8 +148,8 @@
         assert.equal((await claim(owner, key, "y")).outcome, "granted");
     });
 
-    it("keeps a key from others after an append whose outcome stayed unknown", async () => {
-        const { store, createOwner, createKey, claim } = createBench();
+    it("does not grant a key to others after an append with an unknown outcome", async () => {
+        const { store, createOwner, createKey, claim } = createFixture();
         const owner = createOwner();
         await claim(owner, createKey(1), "w");
         const key = createKey(2);
@@ -162,8 +162,8 @@
         assert.equal((await claim(createOwner(), key, "v")).outcome, "taken");
     });
 
-    it("frees a key after appends that were lost on the way", async () => {
-        const { store, createOwner, createKey, claim } = createBench();
+    it("grants a key to the next claimant after append requests were lost", async () => {
+        const { store, createOwner, createKey, claim } = createFixture();
         const owner = createOwner();
         await claim(owner, createKey(1), "w");
         const key = createKey(2);
@@ -173,8 +173,8 @@
         assert.equal((await claim(owner, key, "y")).outcome, "granted");
     });
 
-    it("refuses new claims while the oldest slot still counts", async () => {
-        const { clock, createOwner, createKey, claim } = createBench();
+    it("refuses new claims while the claims in the oldest slot have not expired", async () => {
+        const { clock, createOwner, createKey, claim } = createFixture();
         const owner = createOwner();
         for (const index of [1, 2, 3]) {
             assert.equal((await claim(owner, createKey(index), "x")).outcome, "granted");
@@ -184,8 +184,8 @@
         assert.equal((await claim(owner, createKey(5), "z")).outcome, "granted");
     });
 
-    it("learns what was written while it was paused, when the ring went round too", async () => {
-        const { clock, createOwner, createKey, claim } = createBench();
+    it("applies what was written while it was paused, also if the ring wrapped around", async () => {
+        const { clock, createOwner, createKey, claim } = createFixture();
         const [paused, busy] = [createOwner(), createOwner()];
         await claim(paused, createKey(0), "w");
         await clock.advance(longPause);
@@ -198,9 +198,9 @@
         }
     });
 
-    it("refuses an overwritten key, also where clocks are wrong by more than the margin", async () => {
-        const { clock, createOwner, createKey, claim } = createBench();
-        const ahead = createOwner({ clock: moveWallTime(clock, hour) });
+    it("refuses an overwritten key even if clock skew exceeds the margin", async () => {
+        const { clock, createOwner, createKey, claim } = createFixture();
+        const ahead = createOwner({ clock: createSkewedClock(clock, hour) });
         const key = createTestKey(clock.getWallTime() + hour);
         assert.equal((await claim(ahead, key, "x")).outcome, "granted");
         const owner = createOwner();
@@ -210,15 +210,15 @@
         await clock.advance(longPause);
         const later = createTestKey(clock.getWallTime() + hour, 3);
         assert.equal((await claim(ahead, later, "w")).outcome, "granted");
-        const other = createOwner({ clock: moveWallTime(clock, hour - longPause) });
+        const other = createOwner({ clock: createSkewedClock(clock, hour - longPause) });
         assert.equal((await claim(other, key, "y")).outcome, "too_old");
     });
 
-    it("reads a slot again that was written while the listing went on", async () => {
-        let lists = 0;
-        const { store, createOwner, createKey, claim } = createBench((target, method) => {
-            lists += method === "list" ? 1 : 0;
-            if (lists === 2 && method === "list") {
+    it("rereads a slot that was written during the listing", async () => {
+        let listCount = 0;
+        const { store, createOwner, createKey, claim } = createFixture((target, method) => {
+            listCount += method === "list" ? 1 : 0;
+            if (listCount === 2 && method === "list") {
                 put(target, 3, createKey(3));
                 put(target, 4, createKey(4));
             }
@@ -229,7 +229,7 @@
         assert.equal((await claim(createOwner(), createKey(3), "y")).outcome, "taken");
     });
 
-    it("refuses claims where a slot does not fit", async () => {
+    it("refuses claims if a slot is invalid or inconsistent", async () => {
         for (
             const value of [
                 "x",
@@ -237,14 +237,14 @@
                 JSON.stringify({ number: 4, batchId: "", writtenAt: 0, horizon: -1, claims: [] }),
             ]
         ) {
-            const { store, createOwner, createKey, claim } = createBench();
+            const { store, createOwner, createKey, claim } = createFixture();
             store.put(claimStoreKeys.getSlotKey(0, 0), value);
             assert.equal((await claim(createOwner(), createKey(), "x")).outcome, "unavailable");
         }
     });
 
-    it("answers waiting claims as not owned when the shard is released", async () => {
-        const { store, createOwner, createKey } = createBench();
+    it("resolves waiting claims to not owner when the shard is released", async () => {
+        const { store, createOwner, createKey } = createFixture();
         const owner = createOwner();
         store.setDown(true);
         const verdicts = owner.claim(0, [{ key: createKey(), bodyHash: "body", claimant: "x", nodeId: "node" }]);
--- a/tests/process/claims/claimParts.test.ts
+++ b/tests/process/claims/claimParts.test.ts
@@ -24,7 +24,7 @@
         }
     });
 
-    it("refuses others by kind", () => {
+    it("refuses other keys with the matching error kind", () => {
         doTest(createTestKey(now - windowMilliseconds - 1), "tooOld");
         doTest(createTestKey(now + 60_001), "inFuture");
         doTest(createTestKey(now).toUpperCase(), "malformed");
@@ -34,20 +34,20 @@
 });
 
 describe("createClaimKey", () => {
-    it("gives both cases of a UUID the same key", () => {
+    it("creates the same key for a UUID in upper and lower case", () => {
         const uuid = createTestKey(now).slice("north/".length);
         assert.equal(createClaimKey("north", uuid.toUpperCase()), createClaimKey("north", uuid));
     });
 });
 
 describe("getRingSize", () => {
-    it("covers the window, the tolerance and the margin", () => {
+    it("covers the window, the future tolerance and the clock margin", () => {
         assert.ok(getRingSize(600_000, 20) * 20 > 600_000 + 60_000 + 60_000);
     });
 });
 
 describe("ShardHash", () => {
-    it("spreads keys over all shards, the same each time", async () => {
+    it("distributes keys over all shards, consistently across instances", async () => {
         const [first, second] = [await ShardHash.create(), await ShardHash.create()];
         const shards = new Set<number>();
         for (let index = 0; index < 200; index++) {
@@ -60,7 +60,7 @@
 });
 
 describe("ClaimRing", () => {
-    it("drops claims past the window and refuses their keys when the wall clock steps back", () => {
+    it("drops expired claims and refuses their keys if the wall clock steps back", () => {
         const ring = ClaimRing.create({ size: 4, windowMilliseconds });
         const claim = { key: createTestKey(now), bodyHash: "", claimant: "x", nodeId: "" };
         ring.learn(0, 1, { number: 0, batchId: "", writtenAt: now, horizon: -1, claims: [claim] });
@@ -74,7 +74,7 @@
 });
 
 describe("GrantLedger", () => {
-    it("throws where a key is granted to a second claimant, while it remembers", () => {
+    it("throws if a key is granted to a second claimant during the retention", () => {
         const ledger = GrantLedger.create({ rememberMilliseconds: 10 });
         ledger.record("key", "x", 0);
         ledger.record("key", "x", 1);
--- a/tests/process/claims/scheduledStore.ts
+++ b/tests/process/claims/scheduledStore.ts
@@ -4,33 +4,33 @@
 import { Err } from "../../../src/result.ts";
 import { MemoryStore } from "../../support/memoryStore.ts";
 
-/** What becomes of a call. */
+/** Simulated behavior of a store call. */
 export type Fate = "answered" | "lostAnswer" | "lostRequest" | "lateWrite" | "notDone";
 
 const unknown: PlatformError = { kind: PlatformErrorKind.OutcomeUnknown, message: "The answer was lost." };
 const notDone: PlatformError = { kind: PlatformErrorKind.NotDone, message: "The store is down." };
 
 /**
- * A store whose calls take effect and are answered when fast-check's scheduler says so. A late write takes effect
- * at any time after its caller was told that the outcome is unknown.
+ * Creates a store whose calls take effect and respond in the order chosen by fast-check's scheduler. A late write may take
+ * effect at any time, also after its caller received an unknown outcome.
  */
-export function createScheduledStore(scheduler: fc.Scheduler, fates: () => Fate): PlatformStore {
+export function createScheduledStore(scheduler: fc.Scheduler, getNextBehavior: () => Fate): PlatformStore {
     const memory = MemoryStore.create();
     async function run<T>(call: () => Promise<T>, label: string): Promise<T | ReturnType<typeof Err<PlatformError>>> {
-        const fate = fates();
-        if (fate === "lateWrite") {
+        const behavior = getNextBehavior();
+        if (behavior === "lateWrite") {
             void scheduler.schedule(Promise.resolve(), `late ${label}`).then(call);
         }
-        await scheduler.schedule(Promise.resolve(), `${fate} ${label}`);
-        if (fate === "notDone") {
+        await scheduler.schedule(Promise.resolve(), `${behavior} ${label}`);
+        if (behavior === "notDone") {
             return Err(notDone);
         }
-        if (fate === "lostRequest" || fate === "lateWrite") {
+        if (behavior === "lostRequest" || behavior === "lateWrite") {
             return Err(unknown);
         }
         const answer = await call();
         await scheduler.schedule(Promise.resolve(), `answer ${label}`);
-        return fate === "lostAnswer" ? Err(unknown) : answer;
+        return behavior === "lostAnswer" ? Err(unknown) : answer;
     }
     return Object.assign(Object.create(memory) as PlatformStore, {
         list: (prefix: string, fromKey: string | undefined, limit: number) =>
--- a/tests/process/claims/scheduledTime.ts
+++ b/tests/process/claims/scheduledTime.ts
@@ -7,8 +7,8 @@
 }
 
 /**
- * Time that a test moves. A timer that is due runs when the scheduler says so, which may be long after: its
- * process was paused then.
+ * Simulated time that a test advances. The scheduler decides when a due timer runs. A long delay simulates a paused
+ * process.
  */
 export class ScheduledTime {
     private readonly scheduler: fc.Scheduler;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Lets everything happen until no call is under way and no timer is set. */
+    /** Runs until no call is in flight and no timer is set. */
     async runToEnd(): Promise<void> {
         await this.scheduler.waitIdle();
         while (this.timers.size > 0) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Creates a process's clock, whose wall clock is wrong by the skew. */
+    /** Creates the clock of a process with a skewed wall clock. */
     createClock(skewMilliseconds: number): Clock {
         return {
             getMonotonicTime: () => this.now,
--- a/tests/process/membership/configurationSpreader.test.ts
+++ b/tests/process/membership/configurationSpreader.test.ts
@@ -14,16 +14,16 @@
 const failure = Err({ kind: PeerErrorKind.Unreachable, message: "Down." });
 
 describe("ConfigurationSpreader", () => {
-    let held: ConfigurationText | undefined;
+    let current: ConfigurationText | undefined;
     let offered: number[];
     let fetched: string[];
     let announced: string[];
     let failingAddresses: Set<string>;
     let retries: (() => void)[];
-    let spreader: ConfigurationSpreader;
+    let distributor: ConfigurationSpreader;
 
     beforeEach(() => {
-        held = { version: 4, editId: "e4", text: "{}" };
+        current = { version: 4, editId: "e4", text: "{}" };
         offered = [];
         fetched = [];
         announced = [];
@@ -32,7 +32,7 @@
         const view = MembershipView.create({ nodeId: "self", peerAddress: "s:1", dataCentre: "a", incarnation: 1 });
         const member = { incarnation: 1, state: "alive" as const, dataCentre: "a", configurationVersion: 4 };
         view.applyRecords([{ ...member, nodeId: "b", peerAddress: "b:1" }], 0);
-        spreader = ConfigurationSpreader.create({
+        distributor = ConfigurationSpreader.create({
             view,
             random: () => 0,
             log: { write: () => undefined },
@@ -54,42 +54,42 @@
                     ? failure
                     : Ok(create(GetConfigurationResponseSchema, { version: 5n, editId: "e5", text: "{}" }));
             },
-            getHeld: () => held,
+            getHeld: () => current,
             offer: configuration => {
                 offered.push(configuration.version);
-                held = configuration;
+                current = configuration;
             },
         });
     });
 
-    it("joins pulls of one version, goes on to the next source and relays what was accepted", async () => {
+    it("shares one fetch per version, tries the next source and announces the applied version", async () => {
         failingAddresses.add("down:1");
-        await Promise.all([spreader.pull(5, "down:1"), spreader.pull(5, "b:1"), spreader.pull(5, "c:1")]);
+        await Promise.all([distributor.pull(5, "down:1"), distributor.pull(5, "b:1"), distributor.pull(5, "c:1")]);
         assert.deepEqual(fetched, ["down:1", "b:1"]);
         assert.deepEqual(offered, [5]);
         assert.deepEqual(announced, ["b:1 5"]);
     });
 
     it("never fetches or announces a lower version", async () => {
-        await spreader.pull(4, "b:1");
-        spreader.announce(4);
-        spreader.announce(3);
+        await distributor.pull(4, "b:1");
+        distributor.announce(4);
+        distributor.announce(3);
         assert.deepEqual(fetched, []);
         assert.deepEqual(announced, ["b:1 4"]);
-        assert.equal(spreader.handleGet({ knownVersion: 4n } as never).version, 0n);
+        assert.equal(distributor.handleGet({ knownVersion: 4n } as never).version, 0n);
     });
 
-    it("does not offer a version that is not higher than the held one by the time it arrives", async () => {
-        const running = spreader.pull(5, "b:1");
-        held = { version: 6, editId: "e6", text: "{}" };
-        await running;
+    it("does not offer a version that is no longer higher than the current one when it arrives", async () => {
+        const pull = distributor.pull(5, "b:1");
+        current = { version: 6, editId: "e6", text: "{}" };
+        await pull;
         assert.deepEqual(offered, []);
     });
 
-    it("tells a peer again that could not be reached, a few times", async () => {
+    it("retries the announcement to an unreachable peer a limited number of times", async () => {
         failingAddresses.add("b:1");
-        spreader.announce(4);
-        for (let turn = 0; turn < 10; turn++) {
+        distributor.announce(4);
+        for (let round = 0; round < 10; round++) {
             await new Promise(resolve => setImmediate(resolve));
             retries.shift()?.();
         }
--- a/tests/process/membership/gossiper.test.ts
+++ b/tests/process/membership/gossiper.test.ts
@@ -23,9 +23,12 @@
             node.view.applyVmList([seed], 0);
             node.gossiper.start();
         }
-        await waitUntil("all know all", () => nodes.every(node => node.view.getAliveMembers().length === nodeCount));
+        await waitUntil(
+            "all nodes know each other",
+            () => nodes.every(node => node.view.getAliveMembers().length === nodeCount),
+        );
         const hasAllConnections = (node: TestNode): boolean => node.relay.getConnectionCount() >= nodeCount - 1;
-        await waitUntil("all are connected to all", () => nodes.every(hasAllConnections));
+        await waitUntil("all nodes are connected to each other", () => nodes.every(hasAllConnections));
     });
 
     afterEach(async () => {
@@ -38,19 +41,19 @@
         return node;
     }
 
-    it("takes a node as dead that stops answering while its connections stay open", async () => {
+    it("declares a node dead that stops answering while its connections stay open", async () => {
         const silent = getNode(4);
         const others = nodes.slice(0, 4);
         silent.gossiper.stop();
         silent.relay.freezeAll();
-        await waitUntil("all hold it as dead", () => others.every(node => node.getStateOf(silent) === "dead"));
+        await waitUntil("all consider it dead", () => others.every(node => node.getStateOf(silent) === "dead"));
         for (const node of others) {
             assert.equal(node.view.getAliveMembers().length, nodeCount - 1);
             assert.ok(node.gossiper.getLastContact() !== undefined);
         }
     });
 
-    it("keeps a node whose old connections are silent while new ones work", async () => {
+    it("does not declare a node dead if its old connections are silent but new ones work", async () => {
         const node = getNode(4);
         const deaths: string[] = [];
         for (const other of nodes) {
@@ -59,11 +62,11 @@
         node.relay.freeze();
         const bytes = node.relay.getByteCount();
         await waitUntil("new connections carry calls", () => node.relay.getByteCount() > bytes + 10_000);
-        await waitUntil("all hold it as alive", () => nodes.every(other => other.getStateOf(node) === "alive"));
+        await waitUntil("all consider it alive", () => nodes.every(other => other.getStateOf(node) === "alive"));
         assert.deepEqual(deaths, []);
     });
 
-    it("tells the others of leaving before it ends", async () => {
+    it("notifies the other nodes that it is leaving", async () => {
         const leaving = getNode(2);
         await leaving.gossiper.announceLeaving();
         for (const node of nodes) {
@@ -71,12 +74,12 @@
         }
     });
 
-    it("spreads a version to all, once each and never a lower one", async () => {
+    it("distributes a version to all nodes, once each and never a lower one", async () => {
         for (const version of [1, 3, 2]) {
             getNode(version).accept({ version, editId: `edit-${version}`, text: `{ /* ${version} */ }` });
             getNode(version).spreader.announce(version);
         }
-        await waitUntil("all hold version 3", () => nodes.every(node => node.held?.version === 3));
+        await waitUntil("all have version 3", () => nodes.every(node => node.held?.version === 3));
         for (const node of nodes) {
             assert.equal(node.held?.editId, "edit-3");
             assert.deepEqual(node.offered, [...new Set(node.offered)].sort());
--- a/tests/process/membership/membershipView.test.ts
+++ b/tests/process/membership/membershipView.test.ts
@@ -34,7 +34,7 @@
     }
 
     describe("noteMiss", () => {
-        it("suspects first and takes as dead after the timeout", () => {
+        it("suspects a member first and declares it dead after the timeout", () => {
             view.noteMiss("other", 0);
             assert.equal(getState(), "suspect");
             assert.equal(view.getAliveMembers().length, 2);
@@ -45,7 +45,7 @@
             assert.equal(view.getAliveMembers().length, 1);
         });
 
-        it("does not count for a time after others have shown that the member lives", () => {
+        it("is ignored for a time after other nodes have shown that the member is alive", () => {
             view.noteMiss("other", 0);
             view.applyRecords([{ ...other, incarnation: 8 }], 50);
             view.noteMiss("other", 60);
@@ -55,7 +55,7 @@
             assert.equal(getState(), "suspect");
         });
 
-        it("lets a leaving member that is silent die, unless it answers", () => {
+        it("declares a silent leaving member dead unless it answers", () => {
             view.applyRecords([{ ...other, state: "leaving", incarnation: 8 }], 0);
             view.noteMiss("other", 0);
             view.noteContact("other");
@@ -68,7 +68,7 @@
     });
 
     describe("applyRecords", () => {
-        it("refutes what is believed of the own node, and outlives an earlier life", () => {
+        it("refutes suspicions of its own node and supersedes an earlier process", () => {
             view.applyRecords([{ ...view.getSelf(), state: "suspect" }], 0);
             assert.equal(view.getSelf().incarnation, 6);
             view.applyRecords([{ ...view.getSelf(), state: "dead", incarnation: 40 }], 0);
@@ -78,7 +78,7 @@
             assert.deepEqual([view.getSelf().state, view.getSelf().incarnation], ["leaving", 43]);
         });
 
-        it("does not revive a dead member by old records while it is remembered", () => {
+        it("does not revive a dead member from old records while it is retained", () => {
             view.applyRecords([{ ...other, state: "dead" }], 0);
             view.applyRecords([other], 500);
             assert.equal(getState(), "dead");
@@ -88,23 +88,23 @@
     });
 
     describe("applyWholeView", () => {
-        it("only suspects those whom a peer holds as dead", () => {
+        it("only suspects members that a peer considers dead", () => {
             view.applyWholeView([{ ...other, state: "dead" }], 0);
             assert.equal(getState(), "suspect");
         });
     });
 
     describe("applyVmList", () => {
-        it("seeds addresses that no member has", () => {
-            const stranger = { ...otherVm, vm: "new", address: "10.0.0.3:1" };
+        it("uses addresses without a member as seeds", () => {
+            const unknownVm = { ...otherVm, vm: "new", address: "10.0.0.3:1" };
             const engine = { ...otherVm, vm: "engine", address: "10.0.0.4:1", role: "endpoint" as const };
-            view.applyVmList([otherVm, stranger, engine], 0);
+            view.applyVmList([otherVm, unknownVm, engine], 0);
             assert.deepEqual(view.getSeedAddresses(), ["10.0.0.3:1"]);
             view.noteSeedAnswered("10.0.0.3:1");
             assert.deepEqual(view.getSeedAddresses(), []);
         });
 
-        it("marks a leaving machine once and never revives or overrides the node's own word", () => {
+        it("marks a leaving VM's member once and never revives it or overrides its own records", () => {
             view.applyVmList([{ ...otherVm, state: "leaving" }], 0);
             assert.equal(getState(), "leaving");
             view.applyRecords([{ ...other, incarnation: 8 }], 0);
@@ -116,7 +116,7 @@
             assert.equal(view.getReconnectionCandidates().length, 1);
         });
 
-        it("confirms the death of a suspect whose machine has gone, but not of one that answers", () => {
+        it("declares a suspect dead if its VM is no longer listed, but not an alive member", () => {
             view.applyVmList([otherVm], 0);
             view.applyVmList([], 0);
             assert.equal(getState(), "alive");
@@ -128,15 +128,15 @@
     });
 
     describe("onChange", () => {
-        it("tells changes of the version apart and stops when asked", () => {
-            const seen: boolean[] = [];
-            const stop = view.onChange(change => seen.push(change.isVersionOnly));
+        it("distinguishes version changes and stops after unsubscribing", () => {
+            const isVersionOnly: boolean[] = [];
+            const unsubscribe = view.onChange(change => isVersionOnly.push(change.isVersionOnly));
             view.setConfigurationVersion(4);
             view.setConfigurationVersion(3);
             view.applyRecords([{ ...other, configurationVersion: 2 }, { ...other, state: "suspect" }], 0);
-            stop();
+            unsubscribe();
             view.announceLeaving();
-            assert.deepEqual(seen, [true, true, false]);
+            assert.deepEqual(isVersionOnly, [true, true, false]);
             assert.equal(view.getSelf().configurationVersion, 4);
         });
     });
--- a/tests/process/membership/mergeMember.test.ts
+++ b/tests/process/membership/mergeMember.test.ts
@@ -37,7 +37,7 @@
         );
     });
 
-    it("brings views to the same record whatever the order", () => {
+    it("converges to the same record in any order", () => {
         const orders = fc.array(memberArbitrary, { minLength: 1, maxLength: 8 })
             .chain(members =>
                 fc.tuple(fc.constant(members), fc.shuffledSubarray(members, { minLength: members.length }))
@@ -51,13 +51,17 @@
         );
     });
 
-    it("lets a refutation beat a suspicion and a death of an earlier incarnation", () => {
+    it("lets a refutation supersede a suspicion or death of an earlier incarnation", () => {
         fc.assert(
-            fc.property(memberArbitrary, memberArbitrary, (held, heard) => {
-                const refutation: Member = { ...heard, state: MemberState.Alive, incarnation: held.incarnation + 1 };
-                assert.equal(mergeMember(held, refutation).state, MemberState.Alive);
-                const oldDeath: Member = { ...heard, state: MemberState.Dead, incarnation: held.incarnation - 1 };
-                assert.equal(mergeMember(held, oldDeath), held);
+            fc.property(memberArbitrary, memberArbitrary, (current, received) => {
+                const refutation: Member = {
+                    ...received,
+                    state: MemberState.Alive,
+                    incarnation: current.incarnation + 1,
+                };
+                assert.equal(mergeMember(current, refutation).state, MemberState.Alive);
+                const oldDeath: Member = { ...received, state: MemberState.Dead, incarnation: current.incarnation - 1 };
+                assert.equal(mergeMember(current, oldDeath), current);
             }),
             parameters,
         );
--- a/tests/process/membership/rendezvousOwners.test.ts
+++ b/tests/process/membership/rendezvousOwners.test.ts
@@ -8,22 +8,22 @@
 const keys = Array.from({ length: 900 }, (_, index) => `key-${index}`);
 
 describe("RendezvousOwners", () => {
-    it("moves only the keys of a node that goes, and spreads them over all others", async () => {
+    it("moves only the keys of a removed node and distributes them over all others", async () => {
         const owners = await RendezvousOwners.create();
-        const rest = nodeIds.filter(nodeId => nodeId !== "node-4");
-        const heirs = new Set<string>();
+        const remaining = nodeIds.filter(nodeId => nodeId !== "node-4");
+        const newOwners = new Set<string>();
         for (const key of keys) {
             const before = owners.getOwners(key, nodeIds, 3);
-            const after = owners.getOwners(key, [...rest].reverse(), 3);
+            const after = owners.getOwners(key, [...remaining].reverse(), 3);
             assert.deepEqual(after.slice(0, 2), before.filter(nodeId => nodeId !== "node-4").slice(0, 2));
             if (before[0] === "node-4") {
-                heirs.add(after[0] ?? "");
+                newOwners.add(after[0] ?? "");
             }
         }
-        assert.equal(heirs.size, rest.length);
+        assert.equal(newOwners.size, remaining.length);
     });
 
-    it("gives each node a fair share", async () => {
+    it("assigns a similar number of keys to each node", async () => {
         const owners = await RendezvousOwners.create();
         const counts = new Map<string | undefined, number>();
         for (const key of keys) {
@@ -36,7 +36,7 @@
         }
     });
 
-    it("makes three nodes watchers, or all where there are fewer", async () => {
+    it("chooses three watchers, or all nodes if there are fewer", async () => {
         const owners = await RendezvousOwners.create();
         const members = nodeIds.map(nodeId => ({ nodeId }) as Member);
         const count = (of: Member[]): number => of.filter(member => isWatcher(member.nodeId, of, owners)).length;
--- a/tests/process/membership/testNode.ts
+++ b/tests/process/membership/testNode.ts
@@ -10,7 +10,7 @@
 const secret = "test-secret";
 const log = { write: () => undefined };
 
-/** A node's membership over real loopback connections; all calls to it pass through its relay. */
+/** Membership of a node over real loopback connections. All calls to the node pass through its proxy. */
 export class TestNode {
     readonly view: MembershipView;
     readonly relay: LoopbackProxy;
@@ -21,12 +21,12 @@
     private readonly connections: PeerConnections;
     private server: PeerServer | undefined;
 
-    private constructor(nodeId: string, relay: LoopbackProxy) {
-        this.relay = relay;
+    private constructor(nodeId: string, proxy: LoopbackProxy) {
+        this.relay = proxy;
         this.connections = PeerConnections.create({ secret, log, timeoutMilliseconds: 250 });
         this.view = MembershipView.create({
             nodeId,
-            peerAddress: relay.getAddress(),
+            peerAddress: proxy.getAddress(),
             dataCentre: "a",
             incarnation: 1,
             suspicionTimeoutMilliseconds: 1_000,
