--- a/src/process/claims/claimBatch.ts
+++ b/src/process/claims/claimBatch.ts
@@ -10,7 +10,8 @@
     writtenAt: number;
     /**
      * Latest issue time of all claims that were ever overwritten in this shard, including those overwritten by this
-     * append; -1 if there are none. A key issued at or before it may have been claimed, so it is never granted.
+     * append; -1 if there are none. A key issued at or before it that is no longer in the log may have been claimed, so
+     * it is not granted.
      */
     horizon: number;
     claims: readonly Claim[];
--- a/src/process/claims/claimRing.ts
+++ b/src/process/claims/claimRing.ts
@@ -15,9 +15,10 @@
 
 interface Slot {
     revision: number;
+    /** Number of the batch in the slot. */
     number: number;
     /** Latest issue time of the slot's claims; -1 if it has none. */
-    latestIssue: number;
+    latestIssuedAt: number;
     /** Keys of the slot's claims that are still in memory. */
     keys: readonly string[];
 }
@@ -29,9 +30,11 @@
     private readonly slots: (Slot | undefined)[] = [];
     private readonly claims = new Map<string, Claim>();
     private tail = -1;
-    /** All batches up to this number have been dropped from memory. */
+    /** The claims of all batches up to this number have been dropped from memory. */
     private droppedThrough = -1;
+    /** Highest horizon of the batches that were read. */
     private logHorizon = -1;
+    /** Latest issue time of the claims that were dropped from memory. */
     private memoryHorizon = -1;
 
     private constructor(options: ClaimRingOptions) {
@@ -54,7 +57,7 @@
         return this.claims.size;
     }
 
-    /** Gets the number of the next append. */
+    /** Gets the batch number of the next append. */
     getNextNumber(): number {
         return this.tail + 1;
     }
@@ -71,7 +74,7 @@
 
     /** Gets the horizon for the next append, which includes the claims that it overwrites. */
     getNextHorizon(): number {
-        return Math.max(this.logHorizon, this.slots[this.getNextSlot()]?.latestIssue ?? -1);
+        return Math.max(this.logHorizon, this.slots[this.getNextSlot()]?.latestIssuedAt ?? -1);
     }
 
     /** Gets if all claims in the next append's slot have expired. */
@@ -117,7 +120,7 @@
     }
 
     /**
-     * Finds a slot that misses a batch before the tail because it was appended while the ring was being read.
+     * Finds a slot with an older batch than the tail implies, because it was written while the ring was being read.
      * Returns undefined if all batches up to the tail are known.
      */
     findGap(): number | undefined {
@@ -141,17 +144,17 @@
                 return;
             }
             this.drop(slot);
-            this.memoryHorizon = Math.max(this.memoryHorizon, slot.latestIssue);
+            this.memoryHorizon = Math.max(this.memoryHorizon, slot.latestIssuedAt);
             this.droppedThrough = number;
         }
     }
 
     private isExpired(slot: Slot, wallTime: number): boolean {
-        return slot.latestIssue < 0 || wallTime - slot.latestIssue > this.retentionMilliseconds;
+        return slot.latestIssuedAt < 0 || wallTime - slot.latestIssuedAt > this.retentionMilliseconds;
     }
 
     private add(revision: number, batch: ClaimBatch): Slot {
-        let latestIssue = -1;
+        let latestIssuedAt = -1;
         const keys: string[] = [];
         for (const claim of batch.claims) {
             const earlier = this.claims.get(claim.key);
@@ -161,11 +164,11 @@
                     `The claim log holds key ${claim.key} for both ${earlier.claimant} and ${claim.claimant}.`,
                 );
             }
-            latestIssue = Math.max(latestIssue, getIssueTime(claim.key) ?? -1);
+            latestIssuedAt = Math.max(latestIssuedAt, getIssueTime(claim.key) ?? -1);
             this.claims.set(claim.key, claim);
             keys.push(claim.key);
         }
-        return { revision, number: batch.number, latestIssue, keys };
+        return { revision, number: batch.number, latestIssuedAt, keys };
     }
 
     private drop(slot: Slot | undefined): void {
--- a/src/process/claims/claimVerdict.ts
+++ b/src/process/claims/claimVerdict.ts
@@ -3,9 +3,9 @@
 /** Result of a claim. */
 export interface ClaimVerdict {
     outcome: ClaimOutcome;
-    /** First claimant of the key, if the key was claimed. */
+    /** First claimant of the key, if known. */
     claimant?: string;
-    /** Node of the first claimant. */
+    /** Node of the first claimant, if known. */
     nodeId?: string;
     /** For unavailable: whether the shard had been read up to its tail and held no claim on the key. */
     isUnclaimed?: boolean;
--- a/src/process/claims/ringReading.ts
+++ b/src/process/claims/ringReading.ts
@@ -2,15 +2,15 @@
 
 /**
  * Cursor for reading a ring page by page. A listing is not a snapshot: another owner may append between two pages, so
- * after the first listing the slots that miss a batch before the tail are read again.
+ * after the first listing, slots with an older batch than the tail implies are read again.
  */
 export class RingReading {
     private readonly ring: ClaimRing;
     private readonly getSlotKey: (slot: number) => string;
     private isListed = false;
     private key: string | undefined;
-    /** Next batch number when reading last started from the tail. Reading continues until the number stops growing. */
-    private readThrough = 0;
+    /** Next batch number when the last read from the tail started. Reading continues until it stops increasing. */
+    private lastNextNumber = 0;
 
     private constructor(ring: ClaimRing, getSlotKey: (slot: number) => string) {
         this.ring = ring;
@@ -32,9 +32,9 @@
         return this.key;
     }
 
-    /** Moves the cursor to the tail, because another owner may have appended. */
+    /** Moves the cursor to the tail to read the appends of other owners. */
     readFromTail(): void {
-        this.readThrough = this.ring.getNextNumber();
+        this.lastNextNumber = this.ring.getNextNumber();
         this.key = this.getSlotKey(this.ring.getNextSlot());
     }
 
@@ -51,7 +51,7 @@
         const gap = this.ring.findGap();
         const wasListed = this.isListed;
         this.isListed = true;
-        if (gap === undefined && wasListed && this.ring.getNextNumber() > this.readThrough) {
+        if (gap === undefined && wasListed && this.ring.getNextNumber() > this.lastNextNumber) {
             this.readFromTail();
             return true;
         }
--- a/src/process/membership/changeQueue.ts
+++ b/src/process/membership/changeQueue.ts
@@ -37,16 +37,16 @@
      */
     take(limit: number, memberCount: number): Member[] {
         const maximumTransmissions = Math.ceil(transmissionMultiplier * Math.log2(memberCount + 1));
-        const chosen = [...this.changes.values()].sort((left, right) => left.sentCount - right.sentCount).slice(
+        const selected = [...this.changes.values()].sort((left, right) => left.sentCount - right.sentCount).slice(
             0,
             limit,
         );
-        for (const change of chosen) {
+        for (const change of selected) {
             change.sentCount++;
             if (change.sentCount >= maximumTransmissions) {
                 this.changes.delete(change.member.nodeId);
             }
         }
-        return chosen.map(change => change.member);
+        return selected.map(change => change.member);
     }
 }
--- a/src/process/membership/configurationSpreader.ts
+++ b/src/process/membership/configurationSpreader.ts
@@ -22,7 +22,7 @@
 
 const defaultFanOut = 8;
 const maximumAttempts = 4;
-const firstRetryMilliseconds = 200;
+const firstRetryDelayMilliseconds = 200;
 
 /** Options of a {@link ConfigurationSpreader}. */
 interface ConfigurationSpreaderOptions {
@@ -51,7 +51,7 @@
 export class ConfigurationSpreader {
     private readonly options: ConfigurationSpreaderOptions;
     private readonly rotation: PeerRotation;
-    /** Addresses that have a version which is being fetched, by version. */
+    /** Addresses to fetch a version from, by version. */
     private readonly sources = new Map<number, string[]>();
     private readonly pulls = new Map<number, Promise<void>>();
     private readonly retries = new Set<TimerHandle>();
@@ -68,7 +68,7 @@
         return new ConfigurationSpreader(options);
     }
 
-    /** Announces the node's current version to peers. Does nothing if this or a higher version was announced. */
+    /** Announces a version of this node to peers. Does nothing if this or a higher version was announced. */
     announce(version: number): void {
         if (version <= this.announcedVersion || this.isStopped) {
             return;
@@ -170,7 +170,7 @@
         if (attempt >= maximumAttempts || version < this.announcedVersion || this.isStopped) {
             return;
         }
-        const retry = this.options.clock.setTimer(firstRetryMilliseconds * 2 ** (attempt - 1), () => {
+        const retry = this.options.clock.setTimer(firstRetryDelayMilliseconds * 2 ** (attempt - 1), () => {
             this.retries.delete(retry);
             void this.announceTo(address, version, attempt + 1);
         });
--- a/src/process/membership/contactChooser.ts
+++ b/src/process/membership/contactChooser.ts
@@ -51,8 +51,8 @@
         }
         const isDiscoveryDue = !this.hasPulled || this.round % discoveryIntervalRounds === 0;
         this.round++;
-        const discovered = isDiscoveryDue ? this.chooseDiscoveryContact() : undefined;
-        return discovered === undefined ? contacts : [...contacts, discovered];
+        const discoveryContact = isDiscoveryDue ? this.chooseDiscoveryContact() : undefined;
+        return discoveryContact === undefined ? contacts : [...contacts, discoveryContact];
     }
 
     /** Chooses the peers of a round. */
--- a/src/process/membership/membershipView.ts
+++ b/src/process/membership/membershipView.ts
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Records that a seed has answered, so that it is not contacted again until the VM list changes. */
+    /** Records that a seed has answered, so that it is not contacted again while its VM is listed. */
     noteSeedAnswered(address: string): void {
         this.seeds.noteAnswered(address);
     }
--- a/tests/process/membership/membershipView.test.ts
+++ b/tests/process/membership/membershipView.test.ts
@@ -129,14 +129,14 @@
 
     describe("onChange", () => {
         it("distinguishes version changes and stops after unsubscribing", () => {
-            const isVersionOnly: boolean[] = [];
-            const unsubscribe = view.onChange(change => isVersionOnly.push(change.isVersionOnly));
+            const versionOnlyFlags: boolean[] = [];
+            const unsubscribe = view.onChange(change => versionOnlyFlags.push(change.isVersionOnly));
             view.setConfigurationVersion(4);
             view.setConfigurationVersion(3);
             view.applyRecords([{ ...other, configurationVersion: 2 }, { ...other, state: "suspect" }], 0);
             unsubscribe();
             view.announceLeaving();
-            assert.deepEqual(isVersionOnly, [true, true, false]);
+            assert.deepEqual(versionOnlyFlags, [true, true, false]);
             assert.equal(view.getSelf().configurationVersion, 4);
         });
     });
