--- a/src/process/admin/adminServer.ts
+++ b/src/process/admin/adminServer.ts
@@ -6,27 +6,27 @@
 import { parseAddress } from "../settings/parseAddress.ts";
 import type { ListenError } from "./listenError.ts";
 
-/** Whether a node may get requests. */
+/** Whether a node is ready for requests. */
 interface Readiness {
     ready: boolean;
-    /** Why it is not ready, or what it is ready with. */
+    /** Why the node is not ready, or a short confirmation if it is. */
     reason: string;
 }
 
-/** Options of {@link AdminServer}. */
+/** Options of an {@link AdminServer}. */
 interface AdminServerOptions {
-    /** host:port, by IP number. */
+    /** Address to listen on, as `host:port` with an IP address. */
     listener: string;
     metrics: Metrics;
-    /** Says whether the balancer may send requests to this node. */
+    /** Gets if the load balancer may send requests to this node, and why. */
     isReady(): Readiness;
-    /** Says whether the process works; false asks the platform to replace it. */
+    /** Gets if the process works. If not, the platform is expected to replace it. */
     isHealthy(): boolean;
-    /** Gets what operators see of this node; answered as JSON. */
+    /** Gets the status for operators, which is served as JSON. */
     getStatus(): object;
 }
 
-/** Serves metrics, readiness, health and status on an address of their own. */
+/** HTTP server for metrics, readiness, health and status, on a separate address. */
 export class AdminServer {
     private readonly options: AdminServerOptions;
     private readonly server: Server;
@@ -39,34 +39,31 @@
                 router.lookup(request, response);
             }
             catch (error) {
-                answerFailure(response, error);
+                respondWithFailure(response, error);
             }
         });
     }
 
-    /**
-     * Creates a server; it does not listen yet.
-     * @param options - Address, and where the answers come from.
-     */
+    /** Creates a server. It does not listen before {@link AdminServer.listen}. */
     static create(options: AdminServerOptions): AdminServer {
         return new AdminServer(options);
     }
 
     /**
-     * Begins to listen.
-     * @returns host:port of the listener, or why it can't listen.
+     * Starts to listen.
+     * @returns Address of the listener as `host:port`, or why it cannot listen.
      */
     listen(): Promise<Result<string, ListenError>> {
         const { listener } = this.options;
         return new Promise(resolve => {
-            const fail = (error: Error) => {
-                const message = `Can't listen on the admin address ${listener}: ${error.message}. `
-                    + "Set adminListener to a free address of this machine.";
+            const handleError = (error: Error) => {
+                const message = `Cannot listen on the admin address ${listener}: ${error.message}. `
+                    + "Set adminListener to an unused address of this VM.";
                 resolve(Err({ kind: "listen", message }));
             };
-            this.server.once("error", fail);
+            this.server.once("error", handleError);
             this.server.listen(parseAddress(listener), () => {
-                this.server.off("error", fail);
+                this.server.off("error", handleError);
                 const { address, family, port } = this.server.address() as AddressInfo;
                 resolve(Ok(family === "IPv6" ? `[${address}]:${port}` : `${address}:${port}`));
             });
@@ -82,17 +79,17 @@
     }
 
     private createRouter() {
-        const router = findMyWay({ defaultRoute: (request, response) => answerUnknown(request, response) });
+        const router = findMyWay({ defaultRoute: (request, response) => respondToUnknownPath(request, response) });
         router.get("/metrics", (_request, response) => {
-            this.answerMetrics(response).catch((error: unknown) => answerFailure(response, error));
+            this.respondWithMetrics(response).catch((error: unknown) => respondWithFailure(response, error));
         });
         router.get("/readyz", (_request, response) => {
             const { ready, reason } = this.options.isReady();
-            answerText(response, ready ? 200 : 503, reason);
+            respondWithText(response, ready ? 200 : 503, reason);
         });
         router.get("/healthz", (_request, response) => {
             const isHealthy = this.options.isHealthy();
-            answerText(response, isHealthy ? 200 : 503, isHealthy ? "Healthy." : "Unhealthy.");
+            respondWithText(response, isHealthy ? 200 : 503, isHealthy ? "Healthy." : "Unhealthy.");
         });
         router.get("/status", (_request, response) => {
             const body = `${JSON.stringify(this.options.getStatus(), undefined, 4)}\n`;
@@ -101,7 +98,7 @@
         return router;
     }
 
-    private async answerMetrics(response: ServerResponse): Promise<void> {
+    private async respondWithMetrics(response: ServerResponse): Promise<void> {
         const { registry } = this.options.metrics;
         const text = await registry.metrics();
         response.writeHead(200, { "content-type": registry.contentType }).end(text);
@@ -110,25 +107,29 @@
 
 const paths = ["/metrics", "/readyz", "/healthz", "/status"];
 
-function answerUnknown(request: IncomingMessage, response: ServerResponse): void {
+function respondToUnknownPath(request: IncomingMessage, response: ServerResponse): void {
     const [path = ""] = (request.url ?? "").split("?");
     if (paths.includes(path)) {
         response.setHeader("allow", "GET");
-        answerText(response, 405, "Use GET.");
+        respondWithText(response, 405, "Use GET.");
         return;
     }
-    answerText(response, 404, `Unknown path; known are ${paths.join(", ")}.`);
+    respondWithText(response, 404, `Unknown path; known paths are ${paths.join(", ")}.`);
 }
 
-/** A failed answer must not end the process: whoever looks at it needs the other paths most at that time. */
-function answerFailure(response: ServerResponse, error: unknown): void {
+/** Responds to a failed request. The failure must not end the process, since operators then need the other paths most. */
+function respondWithFailure(response: ServerResponse, error: unknown): void {
     if (response.headersSent) {
         response.destroy();
         return;
     }
-    answerText(response, 500, `The answer can't be made: ${error instanceof Error ? error.message : String(error)}`);
+    respondWithText(
+        response,
+        500,
+        `The response could not be created: ${error instanceof Error ? error.message : String(error)}`,
+    );
 }
 
-function answerText(response: ServerResponse, status: number, text: string): void {
+function respondWithText(response: ServerResponse, status: number, text: string): void {
     response.writeHead(status, { "content-type": "text/plain; charset=utf-8" }).end(`${text}\n`);
 }
--- a/src/process/admin/listenError.ts
+++ b/src/process/admin/listenError.ts
@@ -1,6 +1,6 @@
-/** A listener that can't be opened. */
+/** Error of a listener that could not be started. */
 export interface ListenError {
     kind: "listen";
-    /** What failed and what to do about it. */
+    /** Description of the failure and how to fix it. */
     message: string;
 }
--- a/src/process/admin/nodeStatus.ts
+++ b/src/process/admin/nodeStatus.ts
@@ -1,46 +1,46 @@
 import { z } from "zod";
 
-/** What a node answers under /status. */
+/** Status that a node serves under `/status`. */
 export interface NodeStatus {
     vm: string;
     dataCentre: string;
     ready: boolean;
-    /** Why the node is not ready, or what it is ready with. */
+    /** Why the node is not ready, or a short confirmation if it is. */
     reason: string;
-    /** Version of the configuration in force on the node; 0 where there is none. */
+    /** Version of the configuration in force on the node, or 0 if there is none. */
     configurationVersion: number;
-    /** Name of the edit that brought the configuration in force; empty where there is none. */
+    /** Id of the edit that created the configuration in force, or empty if there is none. */
     configurationEdit: string;
     runningRequests: number;
     queuedRequests: number;
-    /** Time since the store last answered, in milliseconds; undefined where it never has. */
+    /** Time since the last response of the store, or undefined if there was none. */
     storeSilentMilliseconds?: number;
-    /** Time since a peer was last heard, in milliseconds; undefined where none ever was. */
+    /** Time since the last contact with a peer, or undefined if there was none. */
     peersSilentMilliseconds?: number;
-    /** Tokens a second that the endpoints and links allow at most; undefined while not known. */
+    /** Upper bound of the throughput that the endpoints and links allow, or undefined before it is computed. */
     flowBoundTokensPerSecond?: number;
-    /** Tokens a second that this node has lately answered. */
+    /** Moving average of the tokens per second that the node generates. */
     tokensPerSecond: number;
-    /** The node's view of all nodes, itself included. */
+    /** All nodes as the node sees them, including itself. */
     members: {
         vm: string;
         dataCentre: string;
-        /** alive, suspect, leaving or dead. */
+        /** One of `alive`, `suspect`, `leaving` and `dead`. */
         state: string;
-        /** Version that the member had in force when it was last heard of. */
+        /** Last known version of the configuration in force on the member. */
         configurationVersion: number;
     }[];
-    /** The node's view of all endpoints. */
+    /** All endpoints as the node sees them. */
     endpoints: {
         endpoint: string;
-        /** serving, leaving or unreachable. */
+        /** One of `serving`, `leaving` and `unreachable`. */
         state: string;
     }[];
 }
 
 const version = z.int().min(0);
 
-/** Shape of {@link NodeStatus}. Further members are ignored, so that other releases can add some. */
+/** Schema of a {@link NodeStatus}. Unknown properties are ignored, so that other releases can add some. */
 export const NodeStatus: { schema: z.ZodType<NodeStatus>; } = {
     schema: z.object({
         vm: z.string(),
--- a/src/process/admissionService.ts
+++ b/src/process/admissionService.ts
@@ -12,18 +12,21 @@
 interface AdmissionServiceOptions {
     clock: Clock;
     random: RandomSource;
-    /** The nodes among which limits and places are shared. */
+    /** The nodes that share the customers' limits and the endpoints' capacity. */
     view: MembershipView;
     /** Gets the configuration in force. */
     getConfiguration(): Configuration;
-    /** Gets what is believed of an endpoint; undefined where nothing is known of it. */
+    /** Gets the last known state of an endpoint, or undefined if it is unknown. */
     getEndpointState(endpoint: string): EndpointState | undefined;
 }
 
-/** A burst above the even share of the endpoints' places that a node may take, since callers spread unevenly. */
+/**
+ * Factor by which a node may exceed its even share of the capacity, since callers are distributed unevenly over the
+ * nodes.
+ */
 const capacityHeadroom = 1.5;
 
-/** What decides on one node which requests run: gates, their capacities, and the customers' limits. */
+/** Decides which requests run on this node, by the capacities of the gates and the limits of the customers. */
 export class AdmissionService {
     readonly admission: Admission;
     readonly customerLimits: CustomerLimits;
@@ -59,7 +62,7 @@
         });
     }
 
-    /** Creates the service; it follows the view from then on. */
+    /** Creates the service and subscribes it to changes of the membership view. */
     static create(options: AdmissionServiceOptions): AdmissionService {
         return new AdmissionService(options);
     }
@@ -69,13 +72,13 @@
         return Math.min(capacity, Math.ceil(capacity / this.getNodeCount() * capacityHeadroom));
     }
 
-    /** Gets the number of live nodes, this one among them. */
+    /** Gets the number of live nodes, including this one. */
     private getNodeCount(): number {
         return Math.max(1, this.options.view.getAliveMembers().length);
     }
 }
 
-/** Whether a node in this state takes no more requests. */
+/** Gets if a node in this state accepts no more requests. */
 function hasLeft(state: MemberState): boolean {
     return state === MemberState.Leaving || state === MemberState.Dead;
 }
--- a/src/process/claimRouter.ts
+++ b/src/process/claimRouter.ts
@@ -19,21 +19,22 @@
     peers: PeerConnections;
     clock: Clock;
     tracing: Tracing;
-    /** The owner in this process. */
+    /** Claim owner in this process. */
     local: ClaimOwner;
     shards: number;
     getShardOfKey(key: string, shards: number): number;
-    /** Longest time from the first question to the verdict, in milliseconds. */
+    /** Longest time from the first attempt to the verdict, in milliseconds. */
     giveUpMilliseconds: number;
 }
 
-const pauseMilliseconds = 20;
+const retryDelayMilliseconds = 20;
 const callTimeoutMilliseconds = 1_200;
 const candidateCount = 3;
 
 /**
- * Brings a claim to the node that owns its shard, this one or a peer, and to the next in line where the owner does not
- * answer. Any node may decide any claim; a wrong owner costs time only, since the store's compare-and-swap decides.
+ * Routes a claim to the node that owns its shard, which may be this one, and fails over to the next candidates if the
+ * owner does not answer. Any node may decide any claim: the store's compare-and-swap ensures correctness, so asking the
+ * wrong owner only costs time.
  */
 export class ClaimRouter {
     private readonly options: ClaimRouterOptions;
@@ -47,7 +48,10 @@
         return new ClaimRouter(options);
     }
 
-    /** Makes this node read on in the shards that it owns, and forget the others: their owners append without it. */
+    /**
+     * Refreshes the shards that this node owns and releases the others. A released shard would become outdated, since
+     * its owner appends to it without this node.
+     */
     updateOwnedShards(): void {
         const { local, shards } = this.options;
         for (let shard = 0; shard < shards; shard += 1) {
@@ -61,8 +65,8 @@
     }
 
     /**
-     * Decides claims here, for this node or a peer. Only the owner of the shard can tell that a key is unclaimed: another
-     * node's reading of the shard may be older than the owner's last append.
+     * Decides claims on this node, for itself or a peer. Only the owner of the shard can tell that a key is unclaimed:
+     * another node's copy of the shard may be older than the owner's last append.
      */
     async claimHere(shard: number, claims: readonly Claim[]): Promise<ClaimVerdict[]> {
         const verdicts = await this.options.local.claim(shard, claims);
@@ -70,16 +74,15 @@
     }
 
     /**
-     * Claims a key. The claimant asks again under the same name until it has a final verdict, so an answer that was lost
-     * on the way does no harm.
-     * @param claim - The claim.
-     * @param parent - Span that the calls to peers belong to.
+     * Claims a key, and retries as the same claimant until there is a final verdict or the time limit has passed. A lost
+     * response does no harm, since claiming again as the same claimant is idempotent.
+     * @param parent - Parent span of the calls to peers.
      */
     async claim(claim: Claim, parent: TraceContext): Promise<ClaimVerdict> {
         const { clock, shards, giveUpMilliseconds } = this.options;
         const shard = this.options.getShardOfKey(claim.key, shards);
         const giveUpAt = clock.getMonotonicTime() + giveUpMilliseconds;
-        // A process that was paused has passed the time to give up; it still asks once.
+        // Makes at least one attempt, also if the process was paused beyond the time limit.
         for (let attempt = 0; attempt === 0 || clock.getMonotonicTime() < giveUpAt; attempt += 1) {
             const candidates = this.getOwners(shard);
             const nodeId = candidates[attempt % candidates.length];
@@ -87,7 +90,7 @@
             if (verdict !== undefined && verdict.outcome !== ClaimOutcome.NotOwner) {
                 return verdict;
             }
-            await new Promise<void>(resolve => void clock.setTimer(pauseMilliseconds, resolve));
+            await new Promise<void>(resolve => void clock.setTimer(retryDelayMilliseconds, resolve));
         }
         const message = "No node could record the claim in time.";
         return { outcome: ClaimOutcome.Unavailable, message };
--- a/src/process/claimService.ts
+++ b/src/process/claimService.ts
@@ -35,7 +35,7 @@
     tracing: Tracing;
 }
 
-/** The parts that exist once a configuration has set the number of shards. */
+/** Parts that are created once a configuration has set the number of shards. */
 interface ClaimParts {
     owner: ClaimOwner;
     router: ClaimRouter;
@@ -43,11 +43,14 @@
     handOff: KeptAnswerHandOff;
 }
 
-const keptAnswerBytes = 64 * 1024 * 1024;
+const maximumKeptBytes = 64 * 1024 * 1024;
 const ownerGiveUpMilliseconds = 900;
 const routerGiveUpMilliseconds = 2_500;
 
-/** At most once on one node: the claim owner for the shards it holds, and the gate for the requests it receives. */
+/**
+ * Implements at-most-once execution on one node: the claim owner of the shards that it holds, and the claim gate for the
+ * requests that it receives.
+ */
 export class ClaimService implements ClaimGate {
     private readonly options: ClaimServiceOptions;
     private parts: ClaimParts | undefined;
@@ -56,21 +59,21 @@
         this.options = options;
     }
 
-    /** Creates the service; it grants nothing before {@link ClaimService.configure}. */
+    /** Creates the service. It grants no claims before {@link ClaimService.configure} is called. */
     static create(options: ClaimServiceOptions): ClaimService {
         return new ClaimService(options);
     }
 
     /**
-     * Takes the numbers of the first configuration. They hold until the process ends: a key's shard must not change while
-     * its claim counts.
+     * Applies the claim settings of the first configuration and updates the owned shards. The settings stay the same
+     * until the process ends, since the shard of a key must not change while its claim is valid.
      */
     configure(configuration: ClaimConfiguration): void {
         this.parts ??= this.createParts(configuration);
         this.parts.router.updateOwnedShards();
     }
 
-    /** Takes a change of the members: shards may have come to this node. */
+    /** Updates the shards that this node owns after a change of the members. */
     updateOwnedShards(): void {
         this.parts?.router.updateOwnedShards();
     }
@@ -87,22 +90,22 @@
         return await this.parts.gate.claim(key, bodyHash, claimant, parent);
     }
 
-    /** Notes how a request that was granted its claim has ended, for the repeats of its caller. */
+    /** Records how a request with a granted claim ended, so that retries of its caller get its answer. */
     settle(key: string, end: ClaimEnd): void {
         this.parts?.gate.settle(key, end);
     }
 
-    /** Passes the kept answers on to other nodes, before this one stops. */
+    /** Transfers the kept answers to other nodes before this one stops. */
     async passOnAnswers(): Promise<void> {
         await this.parts?.handOff.passOn();
     }
 
-    /** Takes the kept answers of a peer that is stopping. */
+    /** Stores the kept answers of a peer that is shutting down. */
     takeAnswers(items: readonly KeptAnswerItem[]): void {
         this.parts?.handOff.take(items);
     }
 
-    /** Decides claims that a peer has brought. */
+    /** Decides claims for a peer. */
     async claimForPeer(shard: number, claims: readonly Claim[]): Promise<ClaimVerdict[]> {
         if (this.parts === undefined) {
             return claims.map(() => ({ outcome: ClaimOutcome.NotOwner }));
@@ -111,16 +114,15 @@
     }
 
     /**
-     * Answers a peer that asks for a claimed request of this node; undefined where nothing is known.
-     * @param key - The key.
+     * Gets the state of a claimed request of this node for a peer, or undefined if it is unknown.
      * @param claimant - First claimant of the key.
-     * @param nodeId - The peer.
+     * @param nodeId - Id of the peer.
      */
     handOver(key: string, claimant: string, nodeId: string): KeptState | undefined {
         return this.parts?.gate.handOver(key, claimant, nodeId);
     }
 
-    /** Forgets all shards. */
+    /** Closes the claim owner, which drops all shards. */
     close(): void {
         this.parts?.owner.close();
     }
@@ -152,7 +154,7 @@
             giveUpMilliseconds: routerGiveUpMilliseconds,
         });
         const kept = KeptAnswers.create({
-            maximumBytes: keptAnswerBytes,
+            maximumBytes: maximumKeptBytes,
             timeToLiveMilliseconds: windowMilliseconds,
             clock,
         });
--- a/src/process/clock.ts
+++ b/src/process/clock.ts
@@ -1,19 +1,17 @@
 /** A timer that was set on a {@link Clock}. */
 export interface TimerHandle {
-    /** Stops the timer; does nothing where it has already run. */
+    /** Cancels the timer. Does nothing if it has already run. */
     cancel(): void;
 }
 
-/** The source of time. Tests pass a fake one; decisions never read the system's clock themselves. */
+/** Source of time. Code that depends on time uses it instead of the system clock, so that tests can replace it. */
 export interface Clock {
-    /** Gets the monotonic time in milliseconds; only differences mean something. */
+    /** Gets the monotonic time in milliseconds. Only differences are meaningful. */
     getMonotonicTime(): number;
-    /** Gets the wall-clock time in milliseconds since the Unix epoch; it may step. */
+    /** Gets the wall-clock time in milliseconds since the Unix epoch. It may jump forward or backward. */
     getWallTime(): number;
     /**
      * Runs a callback once after a delay.
-     * @param delayMilliseconds - Delay in milliseconds.
-     * @param callback - Function to run.
      */
     setTimer(delayMilliseconds: number, callback: () => void): TimerHandle;
 }
--- a/src/process/configurationService.ts
+++ b/src/process/configurationService.ts
@@ -16,15 +16,20 @@
     clock: Clock;
     random: RandomSource;
     log: EventLog;
-    /** Gets by how much rare reads are stretched, so that their sum over all nodes stays the same; 1 for few nodes. */
+    /**
+     * Gets the factor by which the interval of periodic reads is lengthened, so that the total load of all nodes stays
+     * constant; 1 for small fleets.
+     */
     getStretch(): number;
-    /** Called with each accepted configuration. */
+    /** Called with each accepted version. */
     onAccepted(version: ConfigurationVersion): void;
 }
 
-/** A node reads the whole value this often as the last resort, times the stretch; heartbeats carry the version. */
+/**
+ * Interval of the full reads, multiplied by the stretch. They are a fallback, since heartbeats also carry the version.
+ */
 const checkIntervalMilliseconds = 10_000;
-/** What holds before the first version; requests are refused then. */
+/** Configuration before the first version is accepted; requests are refused until then. */
 const emptyConfiguration: Configuration = {
     models: {},
     services: {},
@@ -36,7 +41,7 @@
     claims: { shards: 1, windowMilliseconds: 1, appendIntervalMilliseconds: 1 },
 };
 
-/** The configuration in force on one node, and the watch on the store that brings newer ones. */
+/** Holds the configuration in force on one node and watches the store for newer ones. */
 export class ConfigurationService {
     readonly follower: ConfigurationFollower;
     readonly watcher: ConfigurationWatcher;
@@ -46,7 +51,7 @@
     private constructor(options: ConfigurationServiceOptions) {
         const { store, clock, random, log } = options;
         this.options = options;
-        this.follower = ConfigurationFollower.create({ onAccepted: version => this.putInForce(version) });
+        this.follower = ConfigurationFollower.create({ onAccepted: version => this.applyVersion(version) });
         this.watcher = ConfigurationWatcher.create({
             store,
             follower: this.follower,
@@ -63,12 +68,12 @@
         return new ConfigurationService(options);
     }
 
-    /** Gets the configuration in force, or an empty one before the first. */
+    /** Gets the configuration in force, or an empty one before the first is accepted. */
     getConfiguration(): Configuration {
         return this.follower.getCurrent()?.configuration ?? emptyConfiguration;
     }
 
-    /** Gets the version in force with the index of its customers; undefined before the first. */
+    /** Gets the version in force and the index of its customers, or undefined before the first is accepted. */
     getVersion(): { version: ConfigurationVersion; customers: CustomerIndex; } | undefined {
         const version = this.follower.getCurrent();
         return version === undefined || this.customers === undefined
@@ -76,7 +81,7 @@
             : { version, customers: this.customers };
     }
 
-    private putInForce(version: ConfigurationVersion): void {
+    private applyVersion(version: ConfigurationVersion): void {
         this.customers = CustomerIndex.create(version.configuration);
         this.options.onAccepted(version);
     }
--- a/src/process/createNodeStatus.ts
+++ b/src/process/createNodeStatus.ts
@@ -3,7 +3,7 @@
 import type { NodeStatus } from "./admin/nodeStatus.ts";
 import type { MembershipView } from "./membership/membershipView.ts";
 
-/** What a {@link NodeStatus} is made of. */
+/** Data that a {@link NodeStatus} is created from. */
 interface NodeStatusParts {
     view: MembershipView;
     directory: EndpointDirectory;
@@ -17,12 +17,9 @@
     tokensPerSecond: number;
 }
 
-/**
- * Creates the status of a node for operators.
- * @param parts - Where it is read from.
- */
+/** Creates the status of a node that operators see. */
 export function createNodeStatus(parts: NodeStatusParts): NodeStatus {
-    const { view, directory, readiness, version, ...figures } = parts;
+    const { view, directory, readiness, version, ...statistics } = parts;
     const self = view.getSelf();
     return {
         vm: self.nodeId,
@@ -31,7 +28,7 @@
         reason: readiness.reason,
         configurationVersion: version?.version ?? 0,
         configurationEdit: version?.editId ?? "",
-        ...figures,
+        ...statistics,
         members: view.getMembers().map(({ nodeId, dataCentre, state, configurationVersion }) => {
             return { vm: nodeId, dataCentre, state, configurationVersion };
         }),
--- a/src/process/createOrderDispatcher.ts
+++ b/src/process/createOrderDispatcher.ts
@@ -10,7 +10,7 @@
 import type { PlatformStore } from "./platform/platformStore.ts";
 import type { RandomSource } from "./randomSource.ts";
 
-/** The parts of a node that orders need. */
+/** Parts of a node that the order dispatcher uses. */
 interface OrderParts {
     nodeId: string;
     store: PlatformStore;
@@ -25,10 +25,7 @@
 
 const dutyKey = "orders";
 
-/**
- * Creates the dispatcher of orders to engines; the first owner of the duty among the live nodes seeks the lease.
- * @param parts - The parts of the node.
- */
+/** Creates the dispatcher of orders to engines. Among the live nodes, the owner of the duty tries to acquire the lease. */
 export function createOrderDispatcher(parts: OrderParts): OrderDispatcher {
     const { nodeId, store, clock, random, log, view, owners, directory, getConfiguration } = parts;
     return OrderDispatcher.create({
--- a/src/process/createPeerHandlers.ts
+++ b/src/process/createPeerHandlers.ts
@@ -4,14 +4,14 @@
 import type { ConfigurationSpreader } from "./membership/configurationSpreader.ts";
 import type { Gossiper } from "./membership/gossiper.ts";
 
-/** The parts of a node that answer its peers. */
+/** Parts of a node that handle calls of its peers. */
 interface PeerHandlerParts {
     gossiper: Gossiper;
     spreader: ConfigurationSpreader;
     claims: ClaimService;
 }
 
-/** The states of the peer protocol for what is kept. */
+/** Maps the kinds of {@link KeptState} to the states of the peer protocol. */
 const keptStates: Readonly<Record<KeptState["kind"], string>> = {
     finished: "finished",
     running: "running",
@@ -21,10 +21,7 @@
     unknown: "unknown",
 };
 
-/**
- * Creates the handlers of the peer listener.
- * @param parts - The parts of the node that answer.
- */
+/** Creates the handlers of the peer listener. */
 export function createPeerHandlers(parts: PeerHandlerParts): PeerHandlers {
     const { gossiper, spreader, claims } = parts;
     return {
--- a/src/process/endpointService.ts
+++ b/src/process/endpointService.ts
@@ -24,22 +24,23 @@
     metrics: Metrics;
     view: MembershipView;
     owners: RendezvousOwners;
-    /** Gets the chooser, which is created after this service. */
+    /** Gets the chooser. A function, since the chooser is created after this service. */
     getChooser(): ChainChooser;
 }
 
 const observeIntervalMilliseconds = 500;
-const observersOfEndpoint = 3;
+const observersPerEndpoint = 3;
 const millisecondsPerSecond = 1_000;
 const endpointStates = ["serving", "leaving", "unreachable"] as const;
 
-/** The endpoints as one node sees them: connections, observation, and reports from and to the other nodes. */
+/** Manages the endpoints on one node: connections, polling of their load, and reports exchanged with the other nodes. */
 export class EndpointService {
     readonly directory: EndpointDirectory;
     private readonly options: EndpointServiceOptions;
     private readonly observer: EndpointObserver;
     private readonly reports: EndpointReports;
-    private readonly observed = new Map<string, boolean>();
+    /** Whether this node observes an endpoint, cached by endpoint until the members or the endpoints change. */
+    private readonly observerDuties = new Map<string, boolean>();
 
     private constructor(options: EndpointServiceOptions) {
         this.options = options;
@@ -50,7 +51,7 @@
                 this.observeAnswer(endpoint, pass, result, elapsedMilliseconds);
             },
             onSilentConnection: endpoint => options.log.write(events.silentConnectionReplaced, { endpoint }),
-            onStateChanged: state => this.noteState(state),
+            onStateChanged: state => this.handleStateChange(state),
         });
         this.observer = EndpointObserver.create({
             nodeId: options.nodeId,
@@ -70,31 +71,31 @@
         return new EndpointService(options);
     }
 
-    /** Starts to observe. */
+    /** Starts polling the endpoints that this node observes. */
     start(): void {
         this.observer.start();
     }
 
-    /** Takes a change of the members: the duty to observe has moved. */
+    /** Recomputes which endpoints this node observes after a change of the members. */
     updateDuties(): void {
-        this.observed.clear();
+        this.observerDuties.clear();
     }
 
-    /** Takes the endpoints of a new configuration. */
+    /** Applies the endpoints of a new configuration. */
     update(configuration: Configuration): void {
         this.directory.update(configuration);
-        this.observed.clear();
+        this.observerDuties.clear();
         for (const state of this.directory.getStates()) {
             this.setStateMetric(state);
         }
     }
 
-    /** Gets the reports that ride on one message of gossip. */
+    /** Gets the reports to send with one gossip message. */
     collectRecords(budgetBytes: number): EndpointReport[] {
         return this.reports.collect(budgetBytes);
     }
 
-    /** Takes the reports of a peer. */
+    /** Applies the reports that a peer has sent. */
     applyRecords(records: readonly EndpointRecord[]): void {
         for (const record of records) {
             if (this.reports.add(record)) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /** Stops observing and closes all connections. */
+    /** Stops polling and closes all connections. */
     async close(): Promise<void> {
         this.observer.stop();
         await this.directory.close();
@@ -137,16 +138,16 @@
         });
     }
 
-    /** Kept until the members change, since each answer weighs all members. */
+    /** Gets if this node observes an endpoint. The result is cached, since computing it visits all members. */
     private isObserver(endpoint: string): boolean {
-        const known = this.observed.get(endpoint);
+        const known = this.observerDuties.get(endpoint);
         if (known !== undefined) {
             return known;
         }
         const nodeIds = this.options.view.getAliveMembers().map(member => member.nodeId);
-        const observers = this.options.owners.getOwners(`endpoint-${endpoint}`, nodeIds, observersOfEndpoint);
+        const observers = this.options.owners.getOwners(`endpoint-${endpoint}`, nodeIds, observersPerEndpoint);
         const isObserver = observers.includes(this.options.nodeId);
-        this.observed.set(endpoint, isObserver);
+        this.observerDuties.set(endpoint, isObserver);
         return isObserver;
     }
 
@@ -160,7 +161,7 @@
         });
     }
 
-    private noteState(state: EndpointState): void {
+    private handleStateChange(state: EndpointState): void {
         this.options.log.write(events.endpointStateChanged, { endpoint: state.endpoint, state: state.state });
         this.setStateMetric(state);
     }
--- a/src/process/eventTime.ts
+++ b/src/process/eventTime.ts
@@ -1,7 +1,7 @@
-/** The two times of one event, in milliseconds. */
+/** Monotonic and wall-clock time of one event, in milliseconds. */
 export interface EventTime {
-    /** For intervals and deadlines; only differences mean something. */
+    /** Monotonic time, for intervals and deadlines. Only differences are meaningful. */
     monotonic: number;
-    /** For the window, since the Unix epoch; it may step. */
+    /** Wall-clock time since the Unix epoch, for the claim window. It may jump forward or backward. */
     wall: number;
 }
--- a/src/process/foxleadNode.ts
+++ b/src/process/foxleadNode.ts
@@ -31,7 +31,7 @@
 import type { NodeSettings } from "./settings/nodeSettings.ts";
 import { Tracing } from "./tracing/tracing.ts";
 
-/** What a node is created from. */
+/** Options of a {@link FoxleadNode}. */
 interface FoxleadNodeOptions {
     settings: NodeSettings;
     log: EventLog;
@@ -39,17 +39,17 @@
     random: RandomSource;
 }
 
-/** Hash functions, loaded once. */
+/** Services whose hash functions are loaded asynchronously. */
 interface Hashes {
     owners: RendezvousOwners;
     shardHash: ShardHash;
 }
 
-/** Estimated bytes of a customer's demand on the wire. */
+/** Estimated size of one customer's demand record on the wire. */
 const demandRecordBytes = 30;
 const peerTimeoutMilliseconds = 1_000;
 
-/** One node: everything that lives as long as its process. */
+/** A Foxlead node: creates all services of the process, connects them, and starts and stops them. */
 export class FoxleadNode {
     private readonly options: FoxleadNodeOptions;
     private readonly metrics = Metrics.create();
@@ -63,7 +63,7 @@
     private readonly claims: ClaimService;
     private readonly admissions: AdmissionService;
     private readonly orders: OrderDispatcher;
-    private readonly figures: NodeFigures;
+    private readonly statistics: NodeFigures;
     private readonly membership: MembershipService;
     private readonly lifecycle: NodeLifecycle;
     private readonly callers: CallerServer;
@@ -93,7 +93,7 @@
             random,
             log,
             getStretch: () => getStretch(view),
-            onAccepted: version => this.putInForce(version),
+            onAccepted: version => this.applyVersion(version),
         });
         const getConfiguration = () => this.configurations.getConfiguration();
         const getChooser = () => this.chooser;
@@ -105,7 +105,7 @@
         this.admissions = AdmissionService.create({ clock, random, view, getConfiguration, getEndpointState });
         const common = { nodeId, store, clock, random, log, view, owners, directory };
         this.orders = createOrderDispatcher({ ...common, getConfiguration });
-        this.figures = this.createFigures();
+        this.statistics = this.createStatistics();
         this.membership = this.createMembership(owners);
         this.lifecycle = this.createLifecycle();
         this.callers = this.createCallerServer();
@@ -118,7 +118,7 @@
         });
     }
 
-    /** Creates a node that does not listen yet. */
+    /** Creates a node. It does not listen before {@link FoxleadNode.start}. */
     static async create(options: FoxleadNodeOptions): Promise<FoxleadNode> {
         const owners = await RendezvousOwners.create();
         const shardHash = await ShardHash.create();
@@ -126,8 +126,8 @@
     }
 
     /**
-     * Starts to listen and to take part.
-     * @throws Error where an address cannot be listened at.
+     * Starts the listeners and all services.
+     * @throws Error if a listener cannot be started.
      */
     async start(): Promise<void> {
         const { settings, log } = this.options;
@@ -148,14 +148,15 @@
         this.membership.start();
         this.endpoints.start();
         this.admissions.capacities.start();
-        this.figures.start();
+        this.statistics.start();
         this.orders.start();
         log.write(events.nodeStarted, { caller: settings.callerListener, peer: settings.peerListener });
     }
 
     /**
-     * Shuts down gracefully: no new requests, those in progress finish, duties pass on.
-     * @param deadline - Settles when what is left is to be ended with the answer that is true of it.
+     * Shuts down gracefully: refuses new requests, announces the departure so that duties move to other nodes, and waits
+     * for the requests in flight.
+     * @param deadline - Resolves when the remaining requests are to be aborted. Each gets the answer that matches its state.
      */
     async stop(deadline: Promise<void>): Promise<void> {
         const { log } = this.options;
@@ -177,7 +178,7 @@
         log.write(events.nodeStopped);
     }
 
-    /** Gets what operators see of this node. */
+    /** Gets the status that operators see. */
     getStatus(): NodeStatus {
         const now = this.options.clock.getMonotonicTime();
         return createNodeStatus({
@@ -189,8 +190,8 @@
             peersSilentMilliseconds: getAge(now, this.membership.gossiper.getLastContact()),
             runningRequests: this.callers.getRequestsInProgress(),
             queuedRequests: this.admissions.admission.waitingCount,
-            flowBoundTokensPerSecond: this.figures.getBound(),
-            tokensPerSecond: this.figures.getTokensPerSecond(),
+            flowBoundTokensPerSecond: this.statistics.getBound(),
+            tokensPerSecond: this.statistics.getTokensPerSecond(),
         });
     }
 
@@ -200,7 +201,7 @@
         this.configurations.watcher.stop();
         this.claims.close();
         this.admissions.capacities.stop();
-        this.figures.stop();
+        this.statistics.stop();
         await this.peerServer?.close();
         this.peers.close();
         await this.endpoints.close();
@@ -220,7 +221,7 @@
         });
     }
 
-    private createFigures(): NodeFigures {
+    private createStatistics(): NodeFigures {
         const { view, metrics } = this;
         return NodeFigures.create({
             clock: this.options.clock,
@@ -299,7 +300,7 @@
         });
     }
 
-    private putInForce(version: ConfigurationVersion): void {
+    private applyVersion(version: ConfigurationVersion): void {
         this.endpoints.update(version.configuration);
         this.claims.configure(version.configuration.claims);
         this.view.setConfigurationVersion(version.version);
--- a/src/process/invariantError.ts
+++ b/src/process/invariantError.ts
@@ -1,6 +1,6 @@
-/** A check of an invariant failed: a fault of this program, never of its input. */
+/** Error of a failed invariant check. It indicates a bug in this program, never invalid input. */
 export class InvariantError extends Error {
-    /** Name of the invariant, as in the proof table. */
+    /** Name of the invariant, which identifies the check in logs and metrics. */
     readonly invariant: string;
 
     private constructor(invariant: string, message: string) {
@@ -11,8 +11,7 @@
 
     /**
      * Creates the error.
-     * @param invariant - Name of the invariant.
-     * @param message - What was found.
+     * @param message - What the check found.
      */
     static create(invariant: string, message: string): InvariantError {
         return new InvariantError(invariant, message);
--- a/src/process/jsonc/describeIssue.ts
+++ b/src/process/jsonc/describeIssue.ts
@@ -2,9 +2,8 @@
 import type { ValueFault } from "./valueFault.ts";
 
 /**
- * Turns an issue of zod into faults whose messages name the remedy.
- * @param issue - Issue that zod reported.
- * @param hasValue - Tells whether the text has a value at a path.
+ * Converts a zod issue to faults whose messages say how to fix the problem.
+ * @param hasValue - Gets if the text has a value at a path.
  */
 export function describeIssue(
     issue: z.core.$ZodIssue,
@@ -14,7 +13,7 @@
     if (issue.code === "unrecognized_keys") {
         return issue.keys.map(key => ({
             path: [...path, key],
-            message: `The key "${key}" is not known here. Remove it or correct its spelling.`,
+            message: `The key "${key}" is unknown. Remove it or correct its spelling.`,
             isAboutKey: true,
         }));
     }
@@ -36,7 +35,7 @@
 function describeRemedy(issue: z.core.$ZodIssue): string {
     switch (issue.code) {
         case "invalid_type":
-            return `Write a value of the type ${issue.expected}.`;
+            return `Write a value of type ${issue.expected}.`;
         case "invalid_value":
             return `Write one of ${issue.values.map(value => JSON.stringify(value)).join(", ")}.`;
         case "invalid_union":
@@ -50,7 +49,7 @@
                 ? `Write ${describeMeasure(issue.origin)} below ${issue.maximum}.`
                 : `Write ${describeMeasure(issue.origin)} of at most ${issue.maximum}.`;
         default:
-            // Formats and custom checks carry a message of their schema, which names the remedy.
+            // The messages of formats and custom checks are defined in the schema and already say how to fix the problem.
             return issue.message;
     }
 }
@@ -64,7 +63,7 @@
 
 function describeMeasure(origin: string): string {
     if (origin === "string") {
-        return "a text with a length";
+        return "a string with a length";
     }
     return origin === "array" ? "a list with a length" : "a number";
 }
--- a/src/process/jsonc/findTooDeepOffset.ts
+++ b/src/process/jsonc/findTooDeepOffset.ts
@@ -1,17 +1,16 @@
 import { createScanner } from "jsonc-parser";
 
 /**
- * Finds where the nesting of a text first goes deeper than a limit. The parser recurses, so that a hostile text
- * could otherwise use up the stack.
- * @param text - Text to scan.
- * @param limit - Deepest nesting allowed.
- * @returns The offset of the first bracket that is too deep, or undefined.
+ * Finds the first place where the nesting of a text exceeds a limit. The parser is recursive, so a malicious text could
+ * otherwise overflow the stack.
+ * @param limit - Maximum nesting depth.
+ * @returns The offset of the first bracket that is nested too deeply, or undefined if there is none.
  */
 export function findTooDeepOffset(text: string, limit: number): number | undefined {
     const scanner = createScanner(text, true);
     let depth = 0;
     for (scanner.scan(); scanner.getTokenOffset() < text.length; scanner.scan()) {
-        // The first character tells a token's kind: strings begin with a quotation mark.
+        // The first character is enough to identify brackets, since strings start with a quotation mark.
         const first = text[scanner.getTokenOffset()];
         if (first === "{" || first === "[") {
             depth += 1;
--- a/src/process/jsonc/jsoncDocument.ts
+++ b/src/process/jsonc/jsoncDocument.ts
@@ -12,7 +12,7 @@
 
 const maximumDepth = 50;
 
-/** A parsed text of JSON with comments that can tell where in the text a value stands. */
+/** A parsed JSON with comments document that maps values to their positions in the text. */
 export class JsoncDocument {
     private readonly lineStarts: number[];
     private readonly root: Node | undefined;
@@ -22,47 +22,45 @@
         this.lineStarts = findLineStarts(text);
         const tooDeep = findTooDeepOffset(text, maximumDepth);
         if (tooDeep !== undefined) {
-            this.addFault(tooDeep, [], `The text nests deeper than ${maximumDepth} levels. Flatten it.`);
+            this.addFault(tooDeep, [], `The text is nested deeper than ${maximumDepth} levels. Flatten it.`);
             return;
         }
         const errors: ParseError[] = [];
         this.root = parseTree(text, errors, { allowTrailingComma: true });
         for (const error of errors) {
             const name = printParseErrorCode(error.error);
-            this.addFault(error.offset, [], `The text is not JSON with comments (${name}). Correct the syntax here.`);
+            this.addFault(
+                error.offset,
+                [],
+                `The text is not valid JSON with comments (${name}). Correct the syntax here.`,
+            );
         }
         if (this.root !== undefined) {
             this.checkKeys(this.root, []);
         }
     }
 
-    /**
-     * Parses a text. It never throws: see {@link getFaults}.
-     * @param text - Text to parse; comments and trailing commas are allowed.
-     */
+    /** Parses a text, in which comments and trailing commas are allowed. Never throws; see {@link getFaults}. */
     static create(text: string): JsoncDocument {
         return new JsoncDocument(text);
     }
 
-    /** Gets the faults of syntax and the keys that are duplicate or reserved. */
+    /** Gets the syntax errors and the duplicate or reserved keys. */
     getFaults(): readonly TextFault[] {
         return this.faults;
     }
 
-    /** Gets the value; its objects have no prototype. Undefined where the text has none. */
+    /** Gets the parsed value, whose objects have no prototype, or undefined if the text contains none. */
     getValue(): unknown {
         return this.root === undefined ? undefined : getNodeValue(this.root);
     }
 
-    /** Gets whether a value stands at a path. */
+    /** Gets if there is a value at a path. */
     hasValue(path: (string | number)[]): boolean {
         return this.root !== undefined && findNodeAtLocation(this.root, path) !== undefined;
     }
 
-    /**
-     * Locates a fault of the value in the text: at the value, or at the nearest enclosing one where it is missing.
-     * @param fault - Fault to locate.
-     */
+    /** Gets a fault with its position in the text: that of its value, or of the nearest enclosing value if it is missing. */
     locateFault(fault: ValueFault): TextFault {
         for (let length = fault.path.length; length >= 0 && this.root !== undefined; length--) {
             const node = findNodeAtLocation(this.root, fault.path.slice(0, length));
@@ -96,7 +94,7 @@
         const name: string = key.value;
         const path = [...parentPath, name];
         if (seen.has(name)) {
-            this.addFault(key.offset, path, `The key "${name}" stands twice in this object. Remove one of the two.`);
+            this.addFault(key.offset, path, `The key "${name}" occurs twice in this object. Remove one of them.`);
         }
         if (name === "__proto__") {
             this.addFault(key.offset, path, `The key "${name}" is reserved. Choose another name.`);
--- a/src/process/jsonc/parseJsonc.ts
+++ b/src/process/jsonc/parseJsonc.ts
@@ -5,19 +5,18 @@
 import type { TextFault } from "./textFault.ts";
 import type { ValueFault } from "./valueFault.ts";
 
-/** Longest text that is parsed, in bytes of UTF-8; the platform's store holds no larger value. */
+/** Size limit of a text, in bytes of UTF-8. The platform's store accepts no larger values. */
 const maximumTextBytes = 1_000_000;
 
-/** Faults beyond this many are not reported. */
+/** Maximum number of faults that are reported. */
 const maximumFaults = 1_000;
 
 /**
- * Parses a text of JSON with comments, checks its shape and fills in the schema's defaults.
- * All faults are reported at once, in the order of the text.
- * @param text - Text to parse.
- * @param schema - Shape of the value. Objects should be strict, so that unknown keys are faults.
- * @param findFaults - Finds faults that the shape cannot express, such as broken references. It gets the value as
- * written, whose shape may be wrong, and whose objects have no prototype.
+ * Parses JSON with comments, validates it against a schema and fills in the schema's defaults.
+ * Reports all faults at once, in the order of the text.
+ * @param schema - Schema of the value. Objects should be strict, so that unknown keys are faults.
+ * @param findFaults - Finds faults that the schema cannot express, such as broken references. It gets the value as
+ * written, which may not match the schema and whose objects have no prototype.
  */
 export function parseJsonc<T>(
     text: string,
--- a/src/process/jsonc/textFault.ts
+++ b/src/process/jsonc/textFault.ts
@@ -1,11 +1,11 @@
-/** One fault in a text of JSON with comments. */
+/** A fault in a JSON with comments text. */
 export interface TextFault {
-    /** Line of the fault, from 1. */
+    /** Line of the fault, starting at 1. */
     line: number;
-    /** Column of the fault in UTF-16 code units, from 1. */
+    /** Column of the fault in UTF-16 code units, starting at 1. */
     column: number;
     /** Path of the value, such as `services.receipts.endpoints[0]`; empty for the whole text. */
     path: string;
-    /** What is wrong and what to do about it. */
+    /** Description of the fault and how to fix it. */
     message: string;
 }
--- a/src/process/jsonc/valueFault.ts
+++ b/src/process/jsonc/valueFault.ts
@@ -1,9 +1,9 @@
-/** A fault of a parsed value, not yet located in its text. */
+/** A fault in a parsed value, without a position in the text. */
 export interface ValueFault {
-    /** Keys and indexes from the top of the value. */
+    /** Keys and indexes that lead from the root to the value. */
     path: (string | number)[];
-    /** What is wrong and what to do about it. */
+    /** Description of the fault and how to fix it. */
     message: string;
-    /** Whether the fault is about the key at the end of the path and not about its value. */
+    /** Whether the fault concerns the last key of the path instead of its value. */
     isAboutKey?: boolean;
 }
--- a/src/process/keptAnswerHandOff.ts
+++ b/src/process/keptAnswerHandOff.ts
@@ -21,16 +21,16 @@
     clock: Clock;
 }
 
-/** Answers of one message, in bytes of their bodies. */
-const messageBytes = 512 * 1024;
-/** A shutdown spends no longer on this, in milliseconds. */
-const longestMilliseconds = 5_000;
-/** Nodes that may hold the answer of a key: the first of them, and others where nodes have come since. */
+/** Limit on the total size of the bodies in one message; a single larger body is sent alone. */
+const maximumMessageBytes = 512 * 1024;
+/** Limits how much the transfer can delay a shutdown. */
+const maximumTransferMilliseconds = 5_000;
+/** Number of nodes that may hold the answer of a key: the first candidate, and the next ones if nodes have joined since. */
 const holderCount = 3;
 
 /**
- * Passes the kept answers of a node that shuts down to other nodes, by rendezvous hashing of each key, so that repeats
- * after a rolling restart still get them.
+ * Transfers the kept answers of a node that shuts down to other nodes, chosen by rendezvous hashing of each key, so that
+ * retries after a rolling restart still get them.
  */
 export class KeptAnswerHandOff {
     private readonly options: KeptAnswerHandOffOptions;
@@ -39,27 +39,29 @@
         this.options = options;
     }
 
-    /** Creates the hand-off of a node. */
+    /** Creates the hand-off. */
     static create(options: KeptAnswerHandOffOptions): KeptAnswerHandOff {
         return new KeptAnswerHandOff(options);
     }
 
     /**
-     * Gets the nodes that may have been given the answer of a key, the likeliest first.
-     * @param key - The key.
+     * Gets the nodes that may have received the answer of a key, the most likely first.
      */
     getHolders(key: string): string[] {
         const nodeIds = getDutyNodeIds(this.options.view).filter(nodeId => nodeId !== this.options.nodeId);
         return this.options.owners.getOwners(`kept-${key}`, nodeIds, holderCount);
     }
 
-    /** Passes on what this node keeps, the most recently used first; what is left after some seconds is lost. */
+    /**
+     * Transfers the answers of this node, the most recently used of each receiving node first. Answers that are not sent
+     * within the time limit are lost.
+     */
     async passOn(): Promise<void> {
         const { clock } = this.options;
-        const endAt = clock.getMonotonicTime() + longestMilliseconds;
+        const deadline = clock.getMonotonicTime() + maximumTransferMilliseconds;
         for (const [nodeId, items] of this.groupByHolder()) {
             for (const batch of splitByBytes(items)) {
-                if (clock.getMonotonicTime() > endAt) {
+                if (clock.getMonotonicTime() > deadline) {
                     return;
                 }
                 await this.send(nodeId, batch);
@@ -67,7 +69,7 @@
         }
     }
 
-    /** Takes the answers of a node that shuts down; what is known of a key here goes before them. */
+    /** Stores the answers of a node that shuts down. The state that this node already has for a key takes precedence. */
     take(items: readonly KeptAnswerItem[]): void {
         for (const { key, claimant, bodyHash, status, contentType, body } of items) {
             if (this.options.kept.getState(key) === undefined) {
@@ -104,7 +106,7 @@
     let bytes = 0;
     for (const item of items) {
         const itemBytes = item.body?.length ?? 0;
-        if (batch.length > 0 && bytes + itemBytes > messageBytes) {
+        if (batch.length > 0 && bytes + itemBytes > maximumMessageBytes) {
             yield batch;
             batch = [];
             bytes = 0;
--- a/src/process/keptAnswers.ts
+++ b/src/process/keptAnswers.ts
@@ -4,20 +4,23 @@
 
 /** Options of {@link KeptAnswers}. */
 interface KeptAnswersOptions {
-    /** Most bytes of answers that are kept. */
+    /** Maximum total size of the answers. */
     maximumBytes: number;
-    /** How long an answer is kept, in milliseconds. */
+    /** Time to live of an answer, in milliseconds. */
     timeToLiveMilliseconds: number;
     clock: Clock;
 }
 
-/** The state of a key whose answer is kept. */
+/** State of a key whose request has finished. */
 type FinishedState = Extract<KeptState, { kind: "finished"; }>;
 
-/** Estimated bytes of an entry besides its answer. */
-const entryBytes = 300;
+/** Estimated size of an entry without the body of its answer. */
+const entryOverheadBytes = 300;
 
-/** The claimed requests of this node and, for a time, their answers. The least recently used go first. */
+/**
+ * Stores the claimed requests of this node and, for a limited time, their answers, so that a retry with the same
+ * idempotency key gets the same answer. Evicts the least recently used entries first.
+ */
 export class KeptAnswers {
     private readonly states: LRUCache<string, KeptState>;
     /** Running requests are never evicted. */
@@ -28,7 +31,7 @@
             maxSize: options.maximumBytes,
             ttl: options.timeToLiveMilliseconds,
             perf: { now: () => options.clock.getMonotonicTime() },
-            sizeCalculation: state => entryBytes + (state.kind === "finished" ? state.answer.body.length : 0),
+            sizeCalculation: state => entryOverheadBytes + (state.kind === "finished" ? state.answer.body.length : 0),
         });
     }
 
@@ -37,12 +40,12 @@
         return new KeptAnswers(options);
     }
 
-    /** Gets what is known of a key; undefined where this node did not claim it or has forgotten. */
+    /** Gets the state of a key, or undefined if this node did not claim it or the entry was evicted. */
     getState(key: string): KeptState | undefined {
         return this.running.get(key) ?? this.states.get(key);
     }
 
-    /** Gets the answers that are kept, the most recently used first. */
+    /** Gets the finished requests with their answers, the most recently used first. */
     getFinished(): { key: string; state: FinishedState; }[] {
         const finished: { key: string; state: FinishedState; }[] = [];
         for (const [key, state] of this.states.entries()) {
@@ -53,7 +56,7 @@
         return finished;
     }
 
-    /** Notes what has become of a key. */
+    /** Sets the state of a key. */
     setState(key: string, state: KeptState): void {
         if (state.kind === "running") {
             this.states.delete(key);
@@ -64,7 +67,7 @@
         this.states.set(key, state);
     }
 
-    /** Forgets a key, whose right the caller has taken. */
+    /** Removes a key whose grant or claimant id was taken over. */
     removeState(key: string): void {
         this.states.delete(key);
     }
--- a/src/process/keptState.ts
+++ b/src/process/keptState.ts
@@ -1,21 +1,21 @@
 import type { KeptAnswer } from "../request/keptAnswer.ts";
 
-/** What a node knows of a claimed request that it received. */
+/** State of a claimed request on the node that received it. */
 export type KeptState = {
-    /** Claimant under which the key is, or may be, in the claim log. */
+    /** Claimant that the claim log has, or may have, recorded for the key. */
     claimant: string;
     bodyHash: string;
 } & KeptProgress;
 
-/** How far the request has come. */
+/** Progress of the request. */
 type KeptProgress =
     | { kind: "running"; }
     | { kind: "finished"; answer: KeptAnswer; }
-    /** Granted and not used: a repeat may run under the claimant, once. */
+    /** Granted but not run: one retry may run as the same claimant. */
     | { kind: "granted"; }
-    /** Never known to be granted, and surely not run: a repeat may go on claiming under the claimant. */
+    /** Not known to be granted, and certainly not run: a retry may continue claiming as the same claimant. */
     | { kind: "released"; }
-    /** The unused grant, or the claimant's name, was given to another node. */
+    /** The unused grant, or the right to claim as the claimant, was transferred to another node. */
     | { kind: "moved"; nodeId: string; }
-    /** Started; how it ended is not known. */
+    /** Started, but the outcome is unknown. */
     | { kind: "unknown"; };
--- a/src/process/logging/boundedLineWriter.ts
+++ b/src/process/logging/boundedLineWriter.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "../clock.ts";
 
-/** Where lines go. Write streams of Node.js fit. */
+/** Output of the lines, such as a Node.js write stream. */
 interface LineOutput {
     write(text: string): unknown;
-    /** Bytes that wait to be written. */
+    /** Number of bytes that are buffered and not yet written. */
     readonly writableLength: number;
 }
 
@@ -11,30 +11,33 @@
 interface BoundedLineWriterOptions {
     output: LineOutput;
     clock: Clock;
-    /** Creates the line that tells of dropped ones. */
+    /** Creates the line that reports how many lines were dropped. */
     createDropLine(count: number): string;
 }
 
 /**
- * Several times the lines of a node's usual requests, which leaves room for a storm of retries. Beyond it the lines themselves would
- * slow the requests down.
+ * Rate of the token bucket. It is several times the lines of a node's usual requests, which leaves headroom for a burst of
+ * retries. At higher rates the logging itself would slow the requests down.
  */
-const linesOfSecond = 300;
-const mostSavedLines = 1_500;
-/** A reader that is this far behind gets no more; waiting for it would hold the process up. */
-const mostWaitingBytes = 512 * 1024;
-const secondMilliseconds = 1_000;
+const linesPerSecond = 300;
+const maximumBurstLines = 1_500;
+/** Lines are dropped while more than this is buffered, since waiting for a slow reader would block the process. */
+const maximumBufferedBytes = 512 * 1024;
+const millisecondsPerSecond = 1_000;
 
-/** Writes lines without ever waiting: what goes beyond a rate, or what the reader doesn't take, is dropped and counted. */
+/**
+ * Writes lines without blocking. Lines that exceed the rate limit, or that the reader does not consume in time, are dropped
+ * and counted.
+ */
 export class BoundedLineWriter {
     private readonly options: BoundedLineWriterOptions;
-    private allowance = mostSavedLines;
-    private updatedAt: number;
+    private availableLines = maximumBurstLines;
+    private refilledAt: number;
     private dropped = 0;
 
     private constructor(options: BoundedLineWriterOptions) {
         this.options = options;
-        this.updatedAt = options.clock.getMonotonicTime();
+        this.refilledAt = options.clock.getMonotonicTime();
     }
 
     /** Creates a writer. */
@@ -42,18 +45,18 @@
         return new BoundedLineWriter(options);
     }
 
-    /** Writes one line, or drops it. */
+    /** Writes a line or drops it, preceded by a line that reports earlier drops. */
     write(line: string): void {
         const { output, clock, createDropLine } = this.options;
         const now = clock.getMonotonicTime();
-        const earned = (now - this.updatedAt) / secondMilliseconds * linesOfSecond;
-        this.allowance = Math.min(mostSavedLines, this.allowance + earned);
-        this.updatedAt = now;
-        if (this.allowance < 1 || output.writableLength > mostWaitingBytes) {
+        const refill = (now - this.refilledAt) / millisecondsPerSecond * linesPerSecond;
+        this.availableLines = Math.min(maximumBurstLines, this.availableLines + refill);
+        this.refilledAt = now;
+        if (this.availableLines < 1 || output.writableLength > maximumBufferedBytes) {
             this.dropped += 1;
             return;
         }
-        this.allowance -= 1;
+        this.availableLines -= 1;
         if (this.dropped > 0) {
             output.write(`${createDropLine(this.dropped)}\n`);
             this.dropped = 0;
--- a/src/process/logging/consolaEventLog.ts
+++ b/src/process/logging/consolaEventLog.ts
@@ -3,19 +3,19 @@
 import { formatEventLine } from "./formatEventLine.ts";
 import type { LogEvent } from "./logEvent.ts";
 
-/** Options of {@link ConsolaEventLog}. */
+/** Options of a {@link ConsolaEventLog}. */
 interface ConsolaEventLogOptions {
-    /** Least severe level that is written. */
+    /** Minimum level of the events that are written. */
     level: LogEvent["level"];
-    /** Name of this machine; stands in each line. */
+    /** Name of this VM, which is added to each line. */
     vm: string;
-    /** Whether lines are for people; JSON lines otherwise. Whether standard output is a terminal by default. */
+    /** Whether to write readable text instead of JSON. By default, whether standard output is a terminal. */
     isTerminal?: boolean;
-    /** Writes one line, without its line end. Writes to standard output by default. */
+    /** Writes a line, which is passed without a line terminator. Writes to standard output by default. */
     writeLine?(line: string): void;
 }
 
-/** Writes each event as one line through consola: readable text on a terminal, JSON otherwise. */
+/** Event log that writes each event as one line through consola: readable text on a terminal, JSON otherwise. */
 export class ConsolaEventLog implements EventLog {
     private readonly consola: ConsolaInstance;
 
@@ -23,10 +23,7 @@
         this.consola = consola;
     }
 
-    /**
-     * Creates a log.
-     * @param options - Level, machine and output.
-     */
+    /** Creates a log. */
     static create(options: ConsolaEventLogOptions): ConsolaEventLog {
         const isTerminal = options.isTerminal ?? process.stdout.isTTY === true;
         const writeLine = options.writeLine ?? (line => process.stdout.write(`${line}\n`));
@@ -36,12 +33,12 @@
                 writeLine(formatEventLine({ event, fields, vm: options.vm, time: entry.date, isTerminal }));
             },
         };
-        // By default consola merges lines that repeat within a second; each event must have its own line.
+        // By default consola merges repeated lines within a second. Disable this, since each event must have its own line.
         const consola = createConsola({ level: LogLevels[options.level], reporters: [reporter], throttle: 0 });
         return new ConsolaEventLog(consola);
     }
 
-    /** Writes an event and its fields as one line, where its level is in force. */
+    /** Writes an event and its fields as one line if its level is enabled. */
     write(event: LogEvent, fields: Readonly<Record<string, string | number | boolean>> = {}): void {
         this.consola[event.level].raw(event, fields);
     }
--- a/src/process/logging/eventLog.ts
+++ b/src/process/logging/eventLog.ts
@@ -1,11 +1,11 @@
 import type { LogEvent } from "./logEvent.ts";
 
-/** Writes numbered events. Fields never hold API keys or request bodies. */
+/** Log of numbered events. Fields must never contain API keys or request bodies. */
 export interface EventLog {
     /**
      * Writes one event.
-     * @param event - Entry of the catalogue.
-     * @param fields - Values that belong to this occurrence.
+     * @param event - Event from the catalogue.
+     * @param fields - Details of this occurrence.
      */
     write(event: LogEvent, fields?: Readonly<Record<string, string | number | boolean>>): void;
 }
--- a/src/process/logging/formatCatalogue.ts
+++ b/src/process/logging/formatCatalogue.ts
@@ -1,7 +1,7 @@
 import type { LogEvent } from "./logEvent.ts";
 
 /**
- * Formats the catalogue of events as a page in Markdown, ordered by number.
+ * Formats the catalogue of events as a Markdown page, sorted by number.
  * @param catalogue - Events by name.
  */
 export function formatCatalogue(catalogue: Readonly<Record<string, LogEvent>>): string {
--- a/src/process/logging/formatEventLine.ts
+++ b/src/process/logging/formatEventLine.ts
@@ -1,19 +1,17 @@
 import type { LogEvent } from "./logEvent.ts";
 
+/** An event to format. */
 interface EventLine {
     event: LogEvent;
     fields: Readonly<Record<string, string | number | boolean>>;
-    /** Name of this machine. */
+    /** Name of this VM. */
     vm: string;
     time: Date;
-    /** Whether the line is for people; JSON otherwise. */
+    /** Whether to format readable text instead of JSON. */
     isTerminal: boolean;
 }
 
-/**
- * Formats one event as one line.
- * @param line - Event with its fields, machine and time.
- */
+/** Formats an event as one line, without a line terminator. */
 export function formatEventLine(line: EventLine): string {
     const time = line.time.toISOString();
     const id = `FL${line.event.number}`;
@@ -30,7 +28,7 @@
 
 const reservedNames = new Set(["time", "level", "event", "message", "vm"]);
 
-/** Keeps fields from hiding the parts that each line has. */
+/** Adds a prefix to fields whose names would override the fixed parts of a line. */
 function prefixReserved(fields: EventLine["fields"]): EventLine["fields"] {
     const entries = Object.entries(fields);
     return Object.fromEntries(
--- a/src/process/logging/logEvent.ts
+++ b/src/process/logging/logEvent.ts
@@ -1,8 +1,8 @@
-/** One kind of log line. Its number never changes meaning. */
+/** A kind of log event. */
 export interface LogEvent {
-    /** Printed as `FL` and the number. */
+    /** Unique number, written as `FL` and the number. Its meaning never changes. */
     number: number;
     level: "info" | "warn" | "error";
-    /** What happened, as a sentence. */
+    /** Description of the event, as a sentence. */
     message: string;
 }
--- a/src/process/logging/readEventLine.ts
+++ b/src/process/logging/readEventLine.ts
@@ -1,6 +1,8 @@
 /**
- * Reads a line that a node has logged as JSON. What stands before its first brace, such as a prefix of the collector, is passed over.
- * @returns Undefined where it is no such line: other programs may write to the same stream, and a line may be cut.
+ * Parses a line that a node has logged as JSON. Text before the first brace, such as a prefix of a log collector, is
+ * ignored.
+ * @returns The fields, or undefined if the line is not valid: other programs may write to the same stream, and a line may
+ * be truncated.
  */
 export function readEventLine(line: string): Readonly<Record<string, unknown>> | undefined {
     const start = line.indexOf("{");
--- a/src/process/membershipService.ts
+++ b/src/process/membershipService.ts
@@ -22,21 +22,25 @@
     follower: ConfigurationFollower;
     watcher: ConfigurationWatcher;
     listVms: ListVms;
-    /** Peer addresses of the settings, to find the other nodes through. */
+    /** Peer addresses from the settings, used to discover the other nodes. */
     seedAddresses: readonly string[];
     clock: Clock;
     random: RandomSource;
     log: EventLog;
-    /** Takes each reading of the platform's list of machines. */
+    /** Called with each non-empty list of VMs that was read from the platform. */
     onVms(records: readonly VmRecord[]): void;
-    /** Called when the set of nodes that hold duties has changed. */
+    /** Called at the start and when a member has changed in more than its configuration version. */
     onMembersChanged(): void;
 }
 
 const vmListIntervalMilliseconds = 1_000;
+/** Relative jitter of the polling interval. */
 const jitter = 0.2;
 
-/** What ties a node to its peers: heartbeats, the spreading of configurations, the list of machines, watch duty. */
+/**
+ * Connects a node to its peers: runs the gossip heartbeats, distributes configurations, polls the platform's list of VMs,
+ * and decides if this node watches the store.
+ */
 export class MembershipService {
     readonly gossiper: Gossiper;
     readonly spreader: ConfigurationSpreader;
@@ -73,12 +77,12 @@
         });
     }
 
-    /** Creates the service; it does nothing before {@link MembershipService.start}. */
+    /** Creates the service. It does nothing before {@link MembershipService.start}. */
     static create(options: MembershipServiceOptions): MembershipService {
         return new MembershipService(options);
     }
 
-    /** Starts heartbeats and the reading of the list of machines. */
+    /** Starts the heartbeats and the polling of the list of VMs. */
     start(): void {
         this.applySeeds();
         this.updateDuties();
@@ -86,13 +90,13 @@
         void this.readVms();
     }
 
-    /** Tells the peers that this node is leaving, so that its duties pass on. */
+    /** Announces to the peers that this node is leaving, so that other nodes take over its duties. */
     async announceLeaving(): Promise<void> {
         await this.gossiper.announceLeaving();
         this.options.watcher.setWatching(false);
     }
 
-    /** Stops everything. */
+    /** Stops all periodic work. */
     stop(): void {
         this.isStopped = true;
         this.timer?.cancel();
@@ -100,7 +104,7 @@
         this.spreader.stop();
     }
 
-    /** The settings' seeds count as machines of the list until the list itself has been read. */
+    /** Adds the seed addresses as VMs, until the list of VMs has been read for the first time. */
     private applySeeds(): void {
         const records: VmRecord[] = [];
         for (const address of this.options.seedAddresses) {
--- a/src/process/metrics/metrics.ts
+++ b/src/process/metrics/metrics.ts
@@ -1,19 +1,22 @@
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** The event loop's delay is sampled so often; at 10 ms, the default, 100 wake-ups a second took half of an idle node's processor. */
-const loopMonitoringMilliseconds = 250;
+/**
+ * Sampling interval of the event loop delay. The default of 10 ms wakes the process 100 times per second, which took half of
+ * the CPU time of an idle node.
+ */
+const eventLoopSamplingMilliseconds = 250;
 const requestBuckets = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300];
 const excessBuckets = [-0.3, -0.2, -0.1, -0.05, 0, 0.05, 0.1, 0.2, 0.3, 0.5];
 const passBuckets = [0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
 /**
- * The metrics of one node, in a registry of their own. The help text of each says what it holds.
- * Times are in seconds and names begin with `foxlead_`, as Prometheus expects.
+ * Prometheus metrics of one node, in a separate registry. The help text of each metric describes it.
+ * As Prometheus expects, times are in seconds and all names start with `foxlead_`.
  */
 export class Metrics {
     readonly registry = new Registry();
 
-    readonly requestsTotal = this.createCounter("requests_total", "Requests that got their final answer.", [
+    readonly requestsTotal = this.createCounter("requests_total", "Requests that received their final answer.", [
         "service",
         "outcome",
     ]);
@@ -30,25 +33,27 @@
     );
     readonly betweenTokensSeconds = this.createHistogram(
         "between_tokens_seconds",
-        "Time between two tokens of one answer.",
+        "Time between two consecutive tokens of an answer.",
         passBuckets,
     );
 
     readonly tokensTotal = this.createCounter("tokens_total", "Tokens accepted into answers.");
     private tokenCount = 0;
-    readonly passesTotal = this.createCounter("passes_total", "Passes over one layer range.", ["outcome"]);
+    readonly passesTotal = this.createCounter("passes_total", "Passes of an engine over a range of layers.", [
+        "outcome",
+    ]);
     readonly passSeconds = this.createHistogram(
         "pass_seconds",
-        "Time of one pass, from its sending to its answer.",
+        "Duration of a pass, from sending it to receiving its answer.",
         passBuckets,
     );
     readonly staleResultsTotal = this.createCounter(
         "stale_results_total",
-        "Answers dropped because a newer attempt or position had taken their place.",
+        "Answers dropped because they were superseded by a newer attempt or position.",
         ["reason"],
     );
 
-    readonly rebuildsTotal = this.createCounter("rebuilds_total", "Contexts rebuilt on a replacement.");
+    readonly rebuildsTotal = this.createCounter("rebuilds_total", "Contexts rebuilt on another chain.");
     readonly recoverySeconds = this.createHistogram(
         "recovery_seconds",
         "Time from the detection of a failed stage to the next token.",
@@ -56,41 +61,44 @@
     );
     readonly rebuiltPositionsTotal = this.createCounter(
         "rebuilt_positions_total",
-        "Positions computed again for a rebuild; they emit nothing.",
+        "Positions recomputed to rebuild a context; they produce no output tokens.",
     );
 
-    readonly claimsTotal = this.createCounter("claims_total", "Claims of idempotency keys.", ["outcome"]);
+    readonly claimsTotal = this.createCounter("claims_total", "Claims on idempotency keys.", ["outcome"]);
     readonly claimSeconds = this.createHistogram(
         "claim_seconds",
-        "Time of one claim, the wait for its batch included.",
+        "Duration of a claim, including the wait for its batch.",
         passBuckets,
     );
 
-    readonly queueDepth = this.createGauge("queue_depth", "Requests that wait for admission.");
-    readonly refusalsTotal = this.createCounter("refusals_total", "Requests refused as not run.", ["reason"]);
+    readonly queueDepth = this.createGauge("queue_depth", "Requests that are queued for admission.");
+    readonly refusalsTotal = this.createCounter("refusals_total", "Requests refused without being run.", ["reason"]);
     readonly endpointEndsTotal = this.createCounter(
         "endpoint_ends_total",
-        "Endpoints that seem to have ended while they began to run a request, by what became of the request.",
+        "Endpoints that appear to have crashed when they started to run a request, by outcome for the request.",
         ["outcome"],
     );
-    readonly retriesTotal = this.createCounter("retries_total", "Repeated calls to endpoints.", ["outcome"]);
+    readonly retriesTotal = this.createCounter("retries_total", "Retried calls to endpoints.", ["outcome"]);
 
     readonly startDecisionsTotal = this.createCounter(
         "start_decisions_total",
-        "Decisions on routed requests for a chain: start, wait or refuse; one that waits is decided on twice.",
+        "Decisions to start, wait or refuse on routed requests for a chain; a request that waits is counted twice.",
         ["decision"],
     );
     readonly startWaitSeconds = this.createHistogram(
         "start_wait_seconds",
-        "Time that routed requests waited for a chain before they were started.",
+        "Time that routed requests were queued for a chain before they started.",
         passBuckets,
     );
     readonly startWaitExcessSeconds = this.createHistogram(
         "start_wait_excess_seconds",
-        "That time less what was expected; below 0 where the wait was shorter.",
+        "Actual minus expected queue time of routed requests; negative if the wait was shorter.",
         excessBuckets,
     );
-    readonly relaysInProgress = this.createGauge("relays_in_progress", "Routed requests without their final answer.");
+    readonly relaysInProgress = this.createGauge(
+        "relays_in_progress",
+        "Routed requests that have not received their final answer.",
+    );
     readonly upstreamConnectionsTotal = this.createCounter(
         "upstream_connections_total",
         "Connections opened to endpoints by the router.",
@@ -104,13 +112,13 @@
         "configuration_version",
         "Version of the configuration in force.",
     );
-    readonly members = this.createGauge("members", "Live nodes in this node's membership view, itself included.");
+    readonly members = this.createGauge("members", "Live nodes in the membership view of this node, including itself.");
     readonly endpointState = this.createGauge(
         "endpoint_state",
-        "1 for the state that an endpoint is in, 0 for its others.",
+        "1 for the current state of an endpoint, 0 for the other states.",
         ["endpoint", "state"],
     );
-    readonly storeCallsTotal = this.createCounter("store_calls_total", "Calls to the platform's key-value service.", [
+    readonly storeCallsTotal = this.createCounter("store_calls_total", "Calls to the platform's key-value store.", [
         "call",
         "outcome",
     ]);
@@ -118,23 +126,26 @@
 
     readonly flowBoundTokensPerSecond = this.createGauge(
         "flow_bound_tokens_per_second",
-        "Upper bound of the throughput by maximum flow over the endpoints and links.",
+        "Upper bound of the throughput, computed as the maximum flow over the endpoints and links.",
+    );
+    readonly achievedShare = this.createGauge(
+        "achieved_share",
+        "Measured tokens per second divided by the upper bound of the throughput.",
     );
-    readonly achievedShare = this.createGauge("achieved_share", "Measured tokens a second divided by the bound.");
     readonly invariantFailuresTotal = this.createCounter(
         "invariant_failures_total",
-        "Checks of an invariant that failed.",
+        "Failed invariant checks.",
         ["name"],
     );
 
     private constructor() {
         collectDefaultMetrics({
             register: this.registry,
-            eventLoopMonitoringPrecision: loopMonitoringMilliseconds,
+            eventLoopMonitoringPrecision: eventLoopSamplingMilliseconds,
         });
     }
 
-    /** Creates the metrics of a node, with those of the process beside them. */
+    /** Creates the metrics of a node, including the default metrics of the process. */
     static create(): Metrics {
         return new Metrics();
     }
@@ -145,7 +156,7 @@
         this.tokensTotal.inc();
     }
 
-    /** Gets the tokens that were accepted since the start. */
+    /** Gets the number of tokens that were accepted since the start. */
     getTokenCount(): number {
         return this.tokenCount;
     }
--- a/src/process/nodeClaimGate.ts
+++ b/src/process/nodeClaimGate.ts
@@ -28,31 +28,35 @@
     windowMilliseconds: number;
 }
 
-/** A claim on its way; its claimant changes where it goes on under a name that another request left. */
+/**
+ * A claim in progress or granted. Its claimant changes when it continues with the id of an earlier request that did not
+ * run.
+ */
 interface ClaimRun {
     key: string;
     bodyHash: string;
     claimant: string;
     /** Whether the claimant has been granted the key. */
     isGranted: boolean;
-    /** Span that the calls to peers belong to. */
+    /** Parent span of the calls to peers. */
     parent: TraceContext;
 }
 
-/** What a step of a claim came to: a decision, or to claim under the run's claimant. */
+/** Result of one step of a claim: a decision, or that the key is to be claimed as the claimant of the run. */
 type ClaimStep = ClaimDecision | { kind: "claim"; };
 
-/** Claims under changed claimants, and nodes asked for one claimant, before the claim is given up. */
+/** Maximum number of attempts at one claim, and of nodes that one attempt asks about a moved claimant. */
 const maximumSteps = 4;
 
 /**
- * The claims of one node: asks the owner of the key's shard, and where the key is taken, the node that took it for its kept
- * answer. A grant that was not used, since no endpoint was there to run the request, passes on to a repeat. A right to a
- * claimant's name is held by one request on one node at any time, so that no two run under it.
+ * Decides the claims of one node. It asks the owner of the key's shard and, if the key is taken, the node of the first
+ * claimant for its kept answer. A grant that was not used, because no endpoint was available to run the request, is
+ * transferred to a retry. At any time at most one request on one node has the right to use a claimant id, so that no two
+ * requests run as the same claimant.
  */
 export class NodeClaimGate implements ClaimGate {
     private readonly options: NodeClaimGateOptions;
-    /** Claims on their way and granted ones that run. */
+    /** Claims in progress and granted claims whose request is running, by key. */
     private readonly runs = new Map<string, ClaimRun>();
 
     private constructor(options: NodeClaimGateOptions) {
@@ -86,12 +90,12 @@
             decision = await this.decide(run);
         }
         finally {
-            this.endClaim(run, decision);
+            this.finishClaim(run, decision);
         }
         return decision;
     }
 
-    /** Notes how a request that was granted its claim has ended; nothing where the key has no claim here. */
+    /** Records how a request with a granted claim ended. Does nothing if the key has no claim on this node. */
     settle(key: string, end: ClaimEnd): void {
         const run = this.runs.get(key);
         if (run === undefined) {
@@ -114,10 +118,10 @@
     }
 
     /**
-     * Answers a peer that asks for a claimed request of this node. What is given to the peer is no longer held here.
-     * @param key - The key.
-     * @param claimant - First claimant of the key, as the owner of the shard has answered.
-     * @param nodeId - The peer.
+     * Gets the state of a claimed request of this node for a peer. An unused grant or claimant id moves to the peer and
+     * can no longer be used on this node.
+     * @param claimant - First claimant of the key, as the owner of the shard reported it.
+     * @param nodeId - Id of the peer.
      */
     handOver(key: string, claimant: string, nodeId: string): KeptState | undefined {
         const state = this.options.kept.getState(key);
@@ -133,15 +137,15 @@
     }
 
     private async decide(run: ClaimRun): Promise<ClaimDecision> {
-        let step = this.takeLocal(run);
+        let step = this.decideLocally(run);
         for (let steps = 0; step.kind === "claim" && steps < maximumSteps; steps += 1) {
             step = await this.claimOnce(run);
         }
         return step.kind === "claim" ? { kind: "unavailable", isUnclaimed: false } : step;
     }
 
-    /** Answers from what this node keeps, before the owner is asked; this works also while the store is down. */
-    private takeLocal(run: ClaimRun): ClaimStep {
+    /** Decides from the state on this node, without asking the owner. This also works while the store is down. */
+    private decideLocally(run: ClaimRun): ClaimStep {
         const { kept } = this.options;
         const state = kept.getState(run.key);
         if (state === undefined || state.kind === "moved") {
@@ -172,33 +176,35 @@
             case ClaimOutcome.TooOld:
                 return { kind: "badKey", message: verdict.message ?? "The idempotency key is too old. Use a new one." };
             case ClaimOutcome.Taken:
-                return await this.followFirst(run, verdict);
+                return await this.askFirstClaimant(run, verdict);
             default:
                 return { kind: "unavailable", isUnclaimed: verdict.isUnclaimed === true };
         }
     }
 
-    /** Asks the node of the first claimant what has become of it, and the nodes that it may have passed it to. */
-    private async followFirst(run: ClaimRun, verdict: ClaimVerdict): Promise<ClaimStep> {
-        const first = verdict.claimant ?? "";
+    /** Asks the node of the first claimant for the state of the request, and follows moves to other nodes. */
+    private async askFirstClaimant(run: ClaimRun, verdict: ClaimVerdict): Promise<ClaimStep> {
+        const firstClaimant = verdict.claimant ?? "";
         let nodeId = verdict.nodeId ?? "";
         for (let steps = 0; steps < maximumSteps; steps += 1) {
-            const response = nodeId === this.options.nodeId ? undefined : await this.askNode(nodeId, run, first);
+            const response = nodeId === this.options.nodeId
+                ? undefined
+                : await this.askNode(nodeId, run, firstClaimant);
             if (response?.state !== "moved") {
-                const step = this.takeFromPeer(run, first, response);
-                return step.kind === "unknown" ? await this.askHolders(run, first) : step;
+                const step = this.applyPeerResponse(run, firstClaimant, response);
+                return step.kind === "unknown" ? await this.askHolders(run, firstClaimant) : step;
             }
             nodeId = response.nodeId;
         }
         return { kind: "unknown" };
     }
 
-    /** Asks the nodes that a node which has stopped may have passed its kept answer to. */
-    private async askHolders(run: ClaimRun, first: string): Promise<ClaimStep> {
+    /** Asks the nodes to which a stopped node may have transferred the kept answer. */
+    private async askHolders(run: ClaimRun, firstClaimant: string): Promise<ClaimStep> {
         for (const nodeId of this.options.handOff.getHolders(run.key)) {
-            const response = await this.askNode(nodeId, run, first);
+            const response = await this.askNode(nodeId, run, firstClaimant);
             if (response?.state === "finished") {
-                return this.takeFromPeer(run, first, response);
+                return this.applyPeerResponse(run, firstClaimant, response);
             }
         }
         return { kind: "unknown" };
@@ -219,7 +225,11 @@
         return response.ok ? response.val : undefined;
     }
 
-    private takeFromPeer(run: ClaimRun, first: string, response: GetKeptAnswerResponse | undefined): ClaimStep {
+    private applyPeerResponse(
+        run: ClaimRun,
+        firstClaimant: string,
+        response: GetKeptAnswerResponse | undefined,
+    ): ClaimStep {
         switch (response?.state) {
             case "finished": {
                 const { status, contentType, body } = response;
@@ -228,19 +238,19 @@
             case "running":
                 return { kind: "running" };
             case "transferred":
-                run.claimant = first;
+                run.claimant = firstClaimant;
                 run.isGranted = true;
                 return { kind: "granted" };
             case "released":
-                run.claimant = first;
+                run.claimant = firstClaimant;
                 return { kind: "claim" };
             default:
                 return { kind: "unknown" };
         }
     }
 
-    /** Keeps what a claim that does not run leaves behind: the right to its claimant's name. */
-    private endClaim(run: ClaimRun, decision: ClaimDecision): void {
+    /** Records the end of a claim. One that could not be made leaves its claimant id to a retry. */
+    private finishClaim(run: ClaimRun, decision: ClaimDecision): void {
         const { key, claimant, bodyHash } = run;
         const { kept } = this.options;
         if (decision.kind === "granted") {
--- a/src/process/nodeFigures.ts
+++ b/src/process/nodeFigures.ts
@@ -5,44 +5,44 @@
 interface NodeFiguresOptions {
     clock: Clock;
     metrics: Metrics;
-    /** Computes the most positions a second that the fleet can carry now. */
+    /** Computes the maximum throughput of the fleet, in positions per second. */
     computeBound(): number;
     getNodeCount(): number;
     getQueueLength(): number;
-    /** Gets the tokens that this node has answered since its start. */
+    /** Gets the number of tokens that this node has generated since its start. */
     getTokenCount(): number;
 }
 
-const refreshMilliseconds = 1_000;
-/** The bound costs some tens of milliseconds at 1,200 engines, so it is worked out anew less often. */
-const boundRefreshes = 30;
-/** Weight of the last second in the average of tokens a second. */
+const refreshIntervalMilliseconds = 1_000;
+/** Computing the bound takes tens of milliseconds at 1,200 engines, so only one in this many refreshes recomputes it. */
+const refreshesPerBound = 30;
+/** Weight of the latest rate in the moving average of tokens per second. */
 const averageWeight = 0.2;
 
-/** Keeps the figures of a node that are averages or cost something to work out. */
+/** Computes the statistics of a node that are averages or too expensive to compute on demand. */
 export class NodeFigures {
     private readonly options: NodeFiguresOptions;
     private timer: TimerHandle | undefined;
     private refreshes = 0;
     private lastTokenCount = 0;
-    private lastAt: number;
+    private refreshedAt: number;
     private tokensPerSecond = 0;
     private bound: number | undefined;
 
     private constructor(options: NodeFiguresOptions) {
         this.options = options;
-        this.lastAt = options.clock.getMonotonicTime();
+        this.refreshedAt = options.clock.getMonotonicTime();
     }
 
-    /** Creates the figures; they stand still before {@link NodeFigures.start}. */
+    /** Creates the statistics. They are not updated before {@link NodeFigures.start}. */
     static create(options: NodeFiguresOptions): NodeFigures {
         return new NodeFigures(options);
     }
 
-    /** Starts to refresh, each second. */
+    /** Refreshes the statistics now and then every second. */
     start(): void {
         this.refresh();
-        this.timer = this.options.clock.setTimer(refreshMilliseconds, () => this.start());
+        this.timer = this.options.clock.setTimer(refreshIntervalMilliseconds, () => this.start());
     }
 
     /** Stops refreshing. */
@@ -50,12 +50,12 @@
         this.timer?.cancel();
     }
 
-    /** Tokens a second that this node has lately answered. */
+    /** Gets the moving average of the tokens per second that this node generates. */
     getTokensPerSecond(): number {
         return this.tokensPerSecond;
     }
 
-    /** The most positions a second that the fleet can carry; undefined before it was worked out. */
+    /** Gets the maximum throughput of the fleet in positions per second, or undefined before it was computed. */
     getBound(): number | undefined {
         return this.bound;
     }
@@ -64,14 +64,14 @@
         const { clock, metrics, computeBound, getNodeCount, getQueueLength, getTokenCount } = this.options;
         const now = clock.getMonotonicTime();
         const tokens = getTokenCount();
-        const seconds = (now - this.lastAt) / 1_000;
+        const seconds = (now - this.refreshedAt) / 1_000;
         if (seconds > 0) {
-            const latest = (tokens - this.lastTokenCount) / seconds;
-            this.tokensPerSecond += (latest - this.tokensPerSecond) * averageWeight;
+            const currentRate = (tokens - this.lastTokenCount) / seconds;
+            this.tokensPerSecond += (currentRate - this.tokensPerSecond) * averageWeight;
         }
-        this.lastAt = now;
+        this.refreshedAt = now;
         this.lastTokenCount = tokens;
-        if (this.refreshes % boundRefreshes === 0) {
+        if (this.refreshes % refreshesPerBound === 0) {
             this.bound = computeBound();
             metrics.flowBoundTokensPerSecond.set(this.bound);
         }
--- a/src/process/platformAccess.ts
+++ b/src/process/platformAccess.ts
@@ -6,7 +6,7 @@
 import type { ListVms } from "./platform/vmList.ts";
 import type { NodeSettings } from "./settings/nodeSettings.ts";
 
-/** What a node uses of the platform: its key-value service, with the calls counted, and its list of machines. */
+/** Gives a node access to the platform: its key-value store, with metrics of the calls, and its list of VMs. */
 export class PlatformAccess {
     readonly store: PlatformStore;
     readonly listVms: ListVms;
@@ -22,15 +22,14 @@
     }
 
     /**
-     * Creates the access; it connects at the first call.
-     * @param settings - Addresses and timeout.
-     * @param metrics - Where the calls are counted.
+     * Creates the access. It connects on the first call.
+     * @param metrics - Metrics that count the store calls.
      */
     static create(settings: NodeSettings["platform"], metrics: Metrics): PlatformAccess {
         return new PlatformAccess(settings, metrics);
     }
 
-    /** Closes the connections to the key-value service. */
+    /** Closes the connections to the key-value store. */
     async close(): Promise<void> {
         await this.connectedStore.close();
     }
--- a/src/process/randomSource.ts
+++ b/src/process/randomSource.ts
@@ -1,2 +1,2 @@
-/** Returns a pseudo-random number in [0, 1). Seeded in tests; a function so that it can be replaced. */
+/** Returns a pseudo-random number in [0, 1). Tests pass a seeded one. */
 export type RandomSource = () => number;
--- a/src/process/runNode.ts
+++ b/src/process/runNode.ts
@@ -4,9 +4,8 @@
 import { systemClock } from "./systemClock.ts";
 
 /**
- * Runs a node until SIGTERM or SIGINT has ended it. A second signal, or the deadline of the settings, ends the requests
- * that still run with the answer that is true of them.
- * @param settings - Settings of the node.
+ * Runs a node until SIGTERM or SIGINT shuts it down. A second signal, or the shutdown deadline of the settings, aborts the
+ * requests that are still running; each gets the answer that matches its state.
  */
 export async function runNode(settings: NodeSettings): Promise<void> {
     const log = ConsolaEventLog.create({ level: settings.logging.level, vm: settings.vm });
--- a/src/process/settings/address.ts
+++ b/src/process/settings/address.ts
@@ -1,7 +1,7 @@
-/** A TCP address by IP number. */
+/** A TCP address. */
 export interface Address {
-    /** IPv4 or IPv6 number, without brackets. */
+    /** IPv4 or IPv6 address, without brackets. */
     host: string;
-    /** Port; 0 lets the operating system choose one. */
+    /** Port, or 0 to let the operating system choose one. */
     port: number;
 }
--- a/src/process/settings/createSettingsSchema.ts
+++ b/src/process/settings/createSettingsSchema.ts
@@ -3,23 +3,23 @@
 import { parseAddress } from "./parseAddress.ts";
 
 const minimumSecretLength = 16;
-const highestTimeout = 3_600_000;
+const maximumTimeoutMilliseconds = 3_600_000;
 
 const name = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, {
     error: "Write a name of at most 63 letters, digits, dots, hyphens and underscores.",
 });
 const listener = z.string().refine(text => parseAddress(text) !== undefined, {
-    error: "Write an IP number and a port, such as 127.0.0.1:8080 or [::1]:8080.",
+    error: "Write an IP address and a port, such as 127.0.0.1:8080 or [::1]:8080.",
 });
 const address = listener.refine(text => parseAddress(text)?.port !== 0, {
     error: "Write a port from 1 to 65535.",
 });
 const fileReference = z.strictObject({ file: z.string().min(1) });
-const milliseconds = z.int().min(1).max(highestTimeout);
+const milliseconds = z.int().min(1).max(maximumTimeoutMilliseconds);
 
 /**
  * Creates the schema of the settings.
- * @param readText - Reads a file that the settings name; throws where it can't.
+ * @param readText - Reads a file that the settings refer to; throws if it cannot be read.
  */
 export function createSettingsSchema(readText: (file: string) => string): z.ZodType<NodeSettings> {
     const valueOrFile = createValueOrFileSchema(readText);
@@ -56,7 +56,7 @@
     });
 }
 
-/** Accepts a string, or `{ "file": PATH }` whose content, without the white space around it, takes its place. */
+/** Creates a schema that accepts a string, or `{ "file": PATH }` for the trimmed content of that file. */
 function createValueOrFileSchema(readText: (file: string) => string) {
     return z.unknown().transform((value, context): string => {
         if (typeof value === "string" && value !== "") {
@@ -64,7 +64,7 @@
         }
         const reference = fileReference.safeParse(value);
         if (!reference.success) {
-            context.addIssue({ code: "custom", message: 'Write a text, or { "file": PATH }.' });
+            context.addIssue({ code: "custom", message: 'Write a string, or { "file": PATH }.' });
             return z.NEVER;
         }
         try {
@@ -74,7 +74,7 @@
             const reason = error instanceof Error ? error.message : String(error);
             context.addIssue({
                 code: "custom",
-                message: `The file can't be read; check its path and rights: ${reason}.`,
+                message: `The file cannot be read; check its path and permissions: ${reason}.`,
             });
             return z.NEVER;
         }
--- a/src/process/settings/nodeSettings.ts
+++ b/src/process/settings/nodeSettings.ts
@@ -1,55 +1,55 @@
 import type { TlsSettings } from "./tlsSettings.ts";
 
-/** Settings of one process, checked, with defaults filled in and the files that they name read. */
+/** Validated settings of a process, with defaults filled in and file references replaced by the contents of the files. */
 export interface NodeSettings {
-    /** Name of this machine; also the id of the node. */
+    /** Name of this VM, which is also the id of the node. */
     vm: string;
     dataCentre: string;
-    /** host:port, by IP number, where callers connect. */
+    /** Address for callers, as `host:port` with an IP address. */
     callerListener: string;
-    /** host:port, by IP number, where other nodes connect. */
+    /** Address for other nodes, as `host:port` with an IP address. */
     peerListener: string;
-    /** host:port, by IP number, of metrics, health and status. */
+    /** Address for metrics, health and status, as `host:port` with an IP address. */
     adminListener: string;
     platform: {
-        /** host:port of the platform's key-value service. */
+        /** Address of the platform's key-value store, as `host:port` with an IP address. */
         storeAddress: string;
-        /** host:port of the platform's list of machines. */
+        /** Address of the platform's VM list service, as `host:port` with an IP address. */
         vmListAddress: string;
-        /** Longest time that one call to the platform may take, in milliseconds. */
+        /** Timeout of a call to the platform. */
         timeoutMilliseconds: number;
     };
-    /** Peer listeners of some other nodes, to find the rest through. */
+    /** Peer addresses of some other nodes, used to discover the rest. */
     peers: string[];
-    /** Secret that all nodes share, of at least 16 characters. */
+    /** Secret shared by all nodes, with at least 16 characters. */
     peerSecret: string;
     tracing: {
-        /** URL of the OTLP collector; no spans are exported where undefined. */
+        /** URL of the OTLP collector. No spans are exported if undefined. */
         otlpAddress?: string;
-        /** Share of the requests that are traced, from 0 to 1. */
+        /** Fraction of the requests that are traced, from 0 to 1. */
         sampleRatio: number;
     };
     logging: {
-        /** Least severe level that is written. */
+        /** Minimum level of the events that are written. */
         level: "info" | "warn" | "error";
     };
-    /** Longest time that a graceful shutdown waits for requests in progress, in milliseconds. */
+    /** Longest time that a graceful shutdown waits for requests in flight. */
     shutdownMilliseconds: number;
     tls: {
-        /** Plain HTTP where undefined. */
+        /** TLS for callers. Plain HTTP if undefined. */
         callers?: TlsSettings;
-        /** Plain connections between the nodes where undefined. */
+        /** TLS between the nodes. Unencrypted connections if undefined. */
         peers?: TlsSettings & {
-            /** Authority that must have signed the other nodes' certificates. */
+            /** Certificate of the authority that must have signed the certificates of the other nodes. */
             authority: string;
         };
     };
     limits: {
-        /** Most connections of callers at the same time. */
+        /** Maximum number of concurrent caller connections. */
         maximumConnections: number;
-        /** Longest time that a caller may take to send a request's header, in milliseconds. */
+        /** Time limit for a caller to send the headers of a request. */
         headerTimeoutMilliseconds: number;
-        /** Longest time that a caller may take to send a whole request, in milliseconds. */
+        /** Time limit for a caller to send a whole request. */
         bodyTimeoutMilliseconds: number;
     };
 }
--- a/src/process/settings/parseSettings.ts
+++ b/src/process/settings/parseSettings.ts
@@ -6,10 +6,10 @@
 import type { NodeSettings } from "./nodeSettings.ts";
 
 /**
- * Parses the settings of a process, JSON with comments, and reads the files that they name.
+ * Parses the settings of a process, which are JSON with comments, and reads the files that they refer to.
  * @param text - Text of the settings.
- * @param readText - Reads a file that the settings name; throws where it can't. Reads from disk by default.
- * @returns The settings, or every fault in the text with its line and column.
+ * @param readText - Reads a file that the settings refer to; throws if it cannot be read. Reads from disk by default.
+ * @returns The settings, or all faults in the text with their lines and columns.
  */
 export function parseSettings(
     text: string,
--- a/src/process/settings/tlsSettings.ts
+++ b/src/process/settings/tlsSettings.ts
@@ -1,4 +1,4 @@
-/** Certificates of one listener, as PEM text. */
+/** Certificate and private key of a listener, in PEM format. */
 export interface TlsSettings {
     certificate: string;
     key: string;
--- a/src/process/systemClock.ts
+++ b/src/process/systemClock.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "./clock.ts";
 
-/** The clock of this process. */
+/** Clock that reads the system time and sets real timers. */
 export const systemClock: Clock = {
     getMonotonicTime: () => performance.now(),
     getWallTime: () => Date.now(),
--- a/src/process/tracing/parseTraceparent.ts
+++ b/src/process/tracing/parseTraceparent.ts
@@ -6,9 +6,9 @@
 const sampledFlag = 1;
 
 /**
- * Parses a `traceparent` header by W3C Trace Context, section 3.2. A later version may append parts, version 00 not.
- * @param header - Value of the header.
- * @returns The context, or undefined where the header is absent or malformed; the trace then begins anew.
+ * Parses a `traceparent` header as defined in W3C Trace Context, section 3.2. Later versions may append parts, version 00
+ * may not.
+ * @returns The context, or undefined if the header is absent or malformed, in which case a new trace starts.
  */
 export function parseTraceparent(header: string | undefined): TraceContext | undefined {
     const match = header === undefined ? null : pattern.exec(header);
--- a/src/process/tracing/spanAttributes.ts
+++ b/src/process/tracing/spanAttributes.ts
@@ -1,2 +1,2 @@
-/** Attributes of a span. They never hold API keys or request bodies. */
+/** Attributes of a span. They must never contain API keys or request bodies. */
 export type SpanAttributes = Readonly<Record<string, string | number | boolean>>;
--- a/src/process/tracing/tracing.ts
+++ b/src/process/tracing/tracing.ts
@@ -12,28 +12,28 @@
 const spanIdBytes = 8;
 const defaultShutdownMilliseconds = 2000;
 
-/** Options of {@link Tracing}. */
+/** Options of a {@link Tracing}. */
 interface TracingOptions {
-    /** URL of the OTLP collector; no span is recorded where neither this nor an exporter is given. */
+    /** URL of the OTLP collector. If neither this nor an exporter is set, no spans are recorded. */
     otlpAddress?: string;
-    /** Share of the traces that begin here and are recorded, from 0 to 1. */
+    /** Fraction of the traces started by this node that are sampled, from 0 to 1. */
     sampleRatio: number;
-    /** Name of this machine; an attribute of each span's resource. */
+    /** Name of this VM, which is set as an attribute of the resource. */
     vm: string;
-    /** Takes the place of the OTLP exporter. */
+    /** Exporter to use instead of the OTLP exporter. */
     exporter?: SpanExporter;
-    /** Decides which traces are recorded. `Math.random` by default. */
+    /** Random source for sampling. `Math.random` by default. */
     random?: RandomSource;
 }
 
 /** Options of a span. */
 interface SpanOptions {
-    /** Context of the span above, from this process or from a `traceparent` header; a new trace where undefined. */
+    /** Context of the parent span, from this process or a `traceparent` header. Starts a new trace if undefined. */
     parent?: TraceContext;
     attributes?: SpanAttributes;
 }
 
-/** Starts spans and exports those of sampled traces. Whether a trace is sampled is decided once, where it begins. */
+/** Starts spans and exports those of sampled traces. The sampling decision is made once, where the trace starts. */
 export class Tracing {
     private readonly provider: BasicTracerProvider | undefined;
     private readonly tracer: Tracer | undefined;
@@ -47,10 +47,7 @@
         this.random = random;
     }
 
-    /**
-     * Creates the tracing of a node.
-     * @param options - Collector, share of the traces, machine.
-     */
+    /** Creates the tracing of a node. */
     static create(options: TracingOptions): Tracing {
         const exporter = options.exporter ?? createOtlpExporter(options.otlpAddress);
         const provider = exporter && new BasicTracerProvider({
@@ -61,9 +58,8 @@
     }
 
     /**
-     * Starts a span. Unsampled spans cost next to nothing: they record no time and no attributes.
-     * @param name - Name of the work, the same for all of its kind.
-     * @param options - Parent and attributes.
+     * Starts a span. Unsampled spans are nearly free, since they record neither times nor attributes.
+     * @param name - Name of the operation, the same for all operations of its kind.
      */
     startSpan(name: string, options: SpanOptions = {}): Span {
         const { parent, attributes } = options;
@@ -77,20 +73,20 @@
     }
 
     /**
-     * Exports the spans that have ended and stops. Spans that the collector doesn't take in time are lost.
-     * @param timeoutMilliseconds - Longest time to wait, in milliseconds.
+     * Exports the spans that have ended and shuts down. Spans that the collector does not accept in time are lost.
+     * @param timeoutMilliseconds - Longest time to wait.
      */
     async shutdown(timeoutMilliseconds = defaultShutdownMilliseconds): Promise<void> {
         if (this.provider === undefined) {
             return;
         }
-        // A collector that is down must not turn a graceful shutdown into a failed one.
+        // A collector that is down must not make a graceful shutdown fail.
         const flushed = this.provider.shutdown().catch(() => undefined);
         let timer: NodeJS.Timeout | undefined;
-        const bound = new Promise<void>(resolve => {
+        const timeout = new Promise<void>(resolve => {
             timer = setTimeout(resolve, timeoutMilliseconds);
         });
-        await Promise.race([flushed, bound]);
+        await Promise.race([flushed, timeout]);
         clearTimeout(timer);
     }
 }
