--- a/tests/process/admin/adminServer.test.ts
+++ b/tests/process/admin/adminServer.test.ts
@@ -44,7 +44,7 @@
         await doTest("/healthz", 503, /Unhealthy/);
     });
 
-    it("serves the status as JSON and outlives a failure of it", async () => {
+    it("serves the status as JSON and continues to work if creating it fails", async () => {
         await doTest("/status?x=1", 200, /"vm": "a"/);
         state.getStatus = () => {
             throw new Error("broken");
@@ -53,13 +53,13 @@
         await doTest("/healthz", 503, /Unhealthy/);
     });
 
-    it("answers unknown paths and other methods", async () => {
+    it("rejects unknown paths and methods other than GET", async () => {
         await doTest("/", 404, /Unknown path/);
         const response = await doTest("/metrics", 405, /Use GET/, "POST");
         assert.equal(response.headers.get("allow"), "GET");
     });
 
-    it("reports an address that is taken", async () => {
+    it("reports an address that is already in use", async () => {
         const result = await AdminServer.create({ ...options, listener: address }).listen();
         assert.ok(result.err);
         assert.match(result.val.message, /adminListener/);
--- a/tests/process/admissionService.test.ts
+++ b/tests/process/admissionService.test.ts
@@ -8,7 +8,7 @@
 const customer = "alice";
 const limit = 100;
 
-/** Two nodes, the other of which sees three times the customer's limit. */
+/** Creates the service of one of two nodes. The other node has a demand of three times the customer's limit. */
 function createService(): { service: AdmissionService; clock: VirtualClock; view: MembershipView; } {
     const clock = VirtualClock.create();
     const view = MembershipView.create({
@@ -32,34 +32,34 @@
     return { service, clock, view };
 }
 
-/** Sends requests at the customer's limit for 4 s and returns the part that passed in the last second. */
-async function getPassedPart(service: AdmissionService, clock: VirtualClock): Promise<number> {
+/** Sends requests at the rate of the customer's limit for 4 s and returns the share accepted in the last second. */
+async function getAcceptedShare(service: AdmissionService, clock: VirtualClock): Promise<number> {
     const startedAt = clock.getMonotonicTime();
-    let passed = 0;
+    let accepted = 0;
     for (let index = 0; index < 4 * limit; index++) {
         await clock.runUntil(startedAt + index * 1_000 / limit);
         const refusal = service.customerLimits.takeRequest(customer, clock.getMonotonicTime());
-        passed += refusal === undefined && index >= 3 * limit ? 1 : 0;
+        accepted += refusal === undefined && index >= 3 * limit ? 1 : 0;
     }
-    return passed / limit;
+    return accepted / limit;
 }
 
 describe("AdmissionService", () => {
     async function doTest(change: (view: MembershipView) => void, expected: number): Promise<void> {
         const { service, clock, view } = createService();
         change(view);
-        const part = await getPassedPart(service, clock);
-        assert.ok(Math.abs(part - expected) <= 0.03, `${part} is not near ${expected}`);
+        const share = await getAcceptedShare(service, clock);
+        assert.ok(Math.abs(share - expected) <= 0.03, `${share} is not near ${expected}`);
     }
 
     it("shares a customer's limit with the other nodes", () => doTest(() => undefined, 0.25));
 
     it("keeps the report of a node that is only suspected", () => doTest(view => view.noteMiss("other", 0), 0.25));
 
-    it("forgets the report of a node that is leaving", () =>
+    it("discards the report of a node that is leaving", () =>
         doTest(view => view.applyRecords([{ ...view.getMember("other")!, state: "leaving" }], 0), 1));
 
-    it("forgets the report of a node that is dead", () =>
+    it("discards the report of a node that is dead", () =>
         doTest(view => {
             view.noteMiss("other", 0);
             view.advance(1);
--- a/tests/process/logging/boundedLineWriter.test.ts
+++ b/tests/process/logging/boundedLineWriter.test.ts
@@ -3,7 +3,7 @@
 import { BoundedLineWriter } from "../../../src/process/logging/boundedLineWriter.ts";
 import { FakeClock } from "../../support/fakeClock.ts";
 
-function createBench() {
+function createFixture() {
     const clock = FakeClock.create();
     const lines: string[] = [];
     const output = { writableLength: 0, write: (text: string) => lines.push(text.trimEnd()) };
@@ -12,8 +12,8 @@
 }
 
 describe("BoundedLineWriter", () => {
-    it("drops what goes beyond its rate, and says how much", async () => {
-        const { clock, lines, writer } = createBench();
+    it("drops lines that exceed the rate limit and reports their number", async () => {
+        const { clock, lines, writer } = createFixture();
         for (let count = 0; count < 2_000; count++) {
             writer.write("line");
         }
@@ -23,8 +23,8 @@
         assert.deepEqual(lines.slice(-2), ["dropped 500", "next"]);
     });
 
-    it("waits for no reader", () => {
-        const { lines, output, writer } = createBench();
+    it("drops lines instead of waiting for a slow reader", () => {
+        const { lines, output, writer } = createFixture();
         output.writableLength = 1024 * 1024;
         writer.write("line");
         assert.deepEqual(lines, []);
--- a/tests/process/logging/consolaEventLog.test.ts
+++ b/tests/process/logging/consolaEventLog.test.ts
@@ -22,7 +22,7 @@
         );
     });
 
-    it("writes JSON lines otherwise, and fields can't hide the fixed parts", () => {
+    it("writes JSON lines otherwise, in which fields cannot override the fixed parts", () => {
         const { lines, log } = createLog(false);
         log.write(started, { version: 7, vm: "b" });
         const { time: written, ...others } = JSON.parse(lines.join("\n"));
@@ -37,7 +37,7 @@
         });
     });
 
-    it("leaves out events below its level and merges none", () => {
+    it("omits events below its level and does not merge repeated events", () => {
         const { lines, log } = createLog(false, "warn");
         for (let count = 0; count < 10; count++) {
             log.write(started);
--- a/tests/process/logging/events.test.ts
+++ b/tests/process/logging/events.test.ts
@@ -5,17 +5,17 @@
 import { formatCatalogue } from "../../../src/process/logging/formatCatalogue.ts";
 
 describe("events", () => {
-    it("have unique numbers of four digits and messages that are sentences", () => {
+    it("have unique four-digit numbers and messages that are sentences", () => {
         const numbers = new Set<number>();
         for (const [name, event] of Object.entries(events)) {
-            assert.ok(!numbers.has(event.number), `${name} has a number that stands twice: ${event.number}.`);
+            assert.ok(!numbers.has(event.number), `${name} has a number that is not unique: ${event.number}.`);
             numbers.add(event.number);
             assert.match(String(event.number), /^\d{4}$/);
             assert.match(event.message, /^[A-Z].*\.$/, name);
         }
     });
 
-    it("agree with the catalogue in the docs", () => {
+    it("match the catalogue in the docs", () => {
         const page = readFileSync(new URL("../../../docs/EVENTS.md", import.meta.url), "utf8");
         assert.equal(page, formatCatalogue(events), "Run npm run events and commit docs/EVENTS.md.");
     });
--- a/tests/process/metrics/metrics.test.ts
+++ b/tests/process/metrics/metrics.test.ts
@@ -3,7 +3,7 @@
 import { Metrics } from "../../../src/process/metrics/metrics.ts";
 
 describe("Metrics", () => {
-    it("keeps a registry of its own, with the process's metrics", async () => {
+    it("uses a separate registry that includes the metrics of the process", async () => {
         const [first, second] = [Metrics.create(), Metrics.create()];
         first.requestsTotal.inc({ service: "receipts", outcome: "finished" });
         first.members.set(9);
--- a/tests/process/settings/parseSettings.test.ts
+++ b/tests/process/settings/parseSettings.test.ts
@@ -14,7 +14,7 @@
 };
 
 describe("parseSettings", () => {
-    function getPlaces(text: string, readText?: (file: string) => string): string[] {
+    function getFaultPositions(text: string, readText?: (file: string) => string): string[] {
         const result = parseSettings(text, readText);
         assert.ok(result.err);
         return result.val.map(({ line, column, path }) => `${line}:${column} ${path}`);
@@ -44,39 +44,39 @@
         });
     });
 
-    it("reports every fault at once with line and column", () => {
+    it("reports all faults at once with their lines and columns", () => {
         const text = JSON.stringify(
             { ...minimal, vm: "a b", peers: ["127.0.0.1:1", "example:80"], more: 1 },
             undefined,
             1,
         );
-        assert.deepEqual(getPlaces(text), ["2:8 vm", "14:3 peers[1]", "16:2 more"]);
+        assert.deepEqual(getFaultPositions(text), ["2:8 vm", "14:3 peers[1]", "16:2 more"]);
     });
 
-    it("reports what is missing", () => {
-        assert.deepEqual(getPlaces(JSON.stringify({ ...minimal, peerSecret: undefined })), ["1:1 peerSecret"]);
+    it("reports missing settings", () => {
+        assert.deepEqual(getFaultPositions(JSON.stringify({ ...minimal, peerSecret: undefined })), ["1:1 peerSecret"]);
     });
 
-    it("reads the files that the settings name", () => {
+    it("reads the files that the settings refer to", () => {
         const text = JSON.stringify({ ...minimal, peerSecret: { file: "secret" } });
         const settings = parseSettings(text, file => `${file} of 16 or more characters\n`).unwrap();
         assert.equal(settings.peerSecret, "secret of 16 or more characters");
     });
 
-    it("reports files that are missing or hold too short a secret", () => {
+    it("reports files that are missing or contain a secret that is too short", () => {
         const text = JSON.stringify({ ...minimal, peerSecret: { file: "secret" } }, undefined, 1);
         const missing = () => {
             throw new Error("no such file");
         };
-        assert.deepEqual(getPlaces(text, missing), ["11:16 peerSecret"]);
-        assert.deepEqual(getPlaces(text, () => "short\n"), ["11:16 peerSecret"]);
+        assert.deepEqual(getFaultPositions(text, missing), ["11:16 peerSecret"]);
+        assert.deepEqual(getFaultPositions(text, () => "short\n"), ["11:16 peerSecret"]);
     });
 
     for (
         const address of ["localhost:80", "127.0.0.1", "127.0.0.256:80", "127.0.0.1:65536", "[127.0.0.1]:1", "::1:80"]
     ) {
-        it(`refuses the listener ${address}`, () => {
-            assert.deepEqual(getPlaces(JSON.stringify({ ...minimal, adminListener: address })).length, 1);
+        it(`rejects the listener ${address}`, () => {
+            assert.deepEqual(getFaultPositions(JSON.stringify({ ...minimal, adminListener: address })).length, 1);
         });
     }
 });
--- a/tests/process/tracing/traceparent.test.ts
+++ b/tests/process/tracing/traceparent.test.ts
@@ -14,7 +14,7 @@
         }
     });
 
-    it("accepts further parts and flags of later versions", () => {
+    it("accepts additional parts and flags of later versions", () => {
         const context = { traceId, spanId, sampled: true };
         assert.deepEqual(parseTraceparent(`01-${traceId}-${spanId}-03-more`), context);
     });
@@ -31,7 +31,7 @@
         ` 00-${traceId}-${spanId}-01`,
     ];
     for (const header of malformed) {
-        it(`refuses ${header}`, () => {
+        it(`rejects ${header}`, () => {
             assert.equal(parseTraceparent(header), undefined);
         });
     }
--- a/tests/process/tracing/tracing.test.ts
+++ b/tests/process/tracing/tracing.test.ts
@@ -4,11 +4,11 @@
 import { Tracing } from "../../../src/process/tracing/tracing.ts";
 
 describe("Tracing", () => {
-    function createTracing(draw: number) {
+    function createTracing(randomValue: number) {
         const exporter = new InMemorySpanExporter();
-        // Stopping would clear what was exported.
+        // The shutdown of this exporter would clear the exported spans.
         exporter.shutdown = () => Promise.resolve();
-        const tracing = Tracing.create({ sampleRatio: 0.5, vm: "a", exporter, random: () => draw });
+        const tracing = Tracing.create({ sampleRatio: 0.5, vm: "a", exporter, random: () => randomValue });
         return { exporter, tracing };
     }
 
@@ -29,7 +29,7 @@
         assert.deepEqual(second?.attributes, { service: "receipts" });
     });
 
-    it("exports nothing of an unsampled trace, but passes its ids on", async () => {
+    it("exports no spans of an unsampled trace, but propagates its ids", async () => {
         const { exporter, tracing } = createTracing(0.6);
         const request = tracing.startSpan("request");
         const pass = tracing.startSpan("pass", { parent: request.context });
@@ -42,7 +42,7 @@
         assert.equal(request.context.sampled, false);
     });
 
-    it("follows the caller's decision", () => {
+    it("follows the sampling decision of the caller", () => {
         const { tracing } = createTracing(0.6);
         const parent = { traceId: "1".repeat(32), spanId: "2".repeat(16), sampled: true };
         const { context } = tracing.startSpan("request", { parent });
@@ -51,13 +51,13 @@
         assert.ok(context.sampled);
     });
 
-    it("passes a sampled trace on unchanged where nothing is exported", () => {
+    it("propagates a sampled trace unchanged if there is no exporter", () => {
         const parent = { traceId: "1".repeat(32), spanId: "2".repeat(16), sampled: true };
         const tracing = Tracing.create({ sampleRatio: 1, vm: "a" });
         assert.deepEqual(tracing.startSpan("request", { parent }).context, parent);
     });
 
-    it("shuts down within its bound where the collector doesn't answer", async () => {
+    it("shuts down within the timeout if the collector does not respond", async () => {
         const exporter = new InMemorySpanExporter();
         exporter.shutdown = () => new Promise(() => undefined);
         const tracing = Tracing.create({ sampleRatio: 1, vm: "a", exporter });
