--- a/src/process/admin/adminServer.ts
+++ b/src/process/admin/adminServer.ts
@@ -6,7 +6,7 @@
 import { parseAddress } from "../settings/parseAddress.ts";
 import type { ListenError } from "./listenError.ts";
 
-/** Whether a node is ready for requests. */
+/** Readiness of a node for requests. */
 interface Readiness {
     ready: boolean;
     /** Why the node is not ready, or a short confirmation if it is. */
--- a/src/process/claimService.ts
+++ b/src/process/claimService.ts
@@ -114,7 +114,8 @@
     }
 
     /**
-     * Gets the state of a claimed request of this node for a peer, or undefined if it is unknown.
+     * Gets the state of a claimed request of this node for a peer, or undefined if it is unknown. An unused grant or
+     * claimant id moves to the peer and can no longer be used on this node.
      * @param claimant - First claimant of the key.
      * @param nodeId - Id of the peer.
      */
--- a/src/process/jsonc/textFault.ts
+++ b/src/process/jsonc/textFault.ts
@@ -1,4 +1,4 @@
-/** A fault in a JSON with comments text. */
+/** A fault in a text of JSON with comments. */
 export interface TextFault {
     /** Line of the fault, starting at 1. */
     line: number;
--- a/src/process/keptAnswerHandOff.ts
+++ b/src/process/keptAnswerHandOff.ts
@@ -44,9 +44,7 @@
         return new KeptAnswerHandOff(options);
     }
 
-    /**
-     * Gets the nodes that may have received the answer of a key, the most likely first.
-     */
+    /** Gets the nodes that may have received the answer of a key, the most likely first. */
     getHolders(key: string): string[] {
         const nodeIds = getDutyNodeIds(this.options.view).filter(nodeId => nodeId !== this.options.nodeId);
         return this.options.owners.getOwners(`kept-${key}`, nodeIds, holderCount);
--- a/src/process/logging/boundedLineWriter.ts
+++ b/src/process/logging/boundedLineWriter.ts
@@ -45,7 +45,7 @@
         return new BoundedLineWriter(options);
     }
 
-    /** Writes a line or drops it, preceded by a line that reports earlier drops. */
+    /** Writes a line or drops it. If lines were dropped before, a line that reports their number is written first. */
     write(line: string): void {
         const { output, clock, createDropLine } = this.options;
         const now = clock.getMonotonicTime();
--- a/src/process/nodeFigures.ts
+++ b/src/process/nodeFigures.ts
@@ -39,7 +39,7 @@
         return new NodeFigures(options);
     }
 
-    /** Refreshes the statistics now and then every second. */
+    /** Refreshes the statistics immediately and then every second. */
     start(): void {
         this.refresh();
         this.timer = this.options.clock.setTimer(refreshIntervalMilliseconds, () => this.start());
