--- a/src/connection/endpoint/callEngine.ts
+++ b/src/connection/endpoint/callEngine.ts
@@ -1,23 +1,22 @@
 import type { Dispatcher } from "undici";
 import type { EngineAnswer } from "./engineAnswer.ts";
 
-/** A small call to an engine. */
+/** A call to an engine that is not a batch of passes. */
 interface EngineCall {
     method: "GET" | "POST";
     path: string;
-    /** Sent as JSON. */
+    /** Value that is sent as JSON. */
     body: object | undefined;
     timeoutMilliseconds: number;
 }
 
-/** Engines are not trusted to end their answers; a status with thousands of layer ranges stays far below this. */
+/** Guards against engines that send endless responses. A status with thousands of layer ranges stays far below it. */
 const maximumAnswerBytes = 1024 * 1024;
 
 /**
- * Sends a call and reads its answer, a bounded one.
- * @param dispatcher - Connections to the engine.
- * @param call - The call.
- * @throws Error where no whole answer came in time, it is no JSON, or it is too long.
+ * Sends a call and reads its response.
+ * @param dispatcher - Connection pool of the engine.
+ * @throws If the response is not complete in time, is too long or is not JSON.
  */
 export async function callEngine(dispatcher: Dispatcher, call: EngineCall): Promise<EngineAnswer> {
     const response = await dispatcher.request({
@@ -32,7 +31,7 @@
     for await (const chunk of response.body as AsyncIterable<Buffer>) {
         bytes += chunk.length;
         if (bytes > maximumAnswerBytes) {
-            throw new RangeError(`The answer to ${call.path} is longer than ${maximumAnswerBytes} bytes.`);
+            throw new RangeError(`The response to ${call.path} is longer than ${maximumAnswerBytes} bytes.`);
         }
         chunks.push(chunk);
     }
--- a/src/connection/endpoint/endpointBelief.ts
+++ b/src/connection/endpoint/endpointBelief.ts
@@ -3,13 +3,13 @@
 import type { EndpointState } from "./endpointState.ts";
 import type { EngineStatus } from "./engineProtocol.ts";
 
-/** A node's own good answer goes before a peer's word that the endpoint is unreachable, for this long. */
+/** Time for which a response that this node received overrides peer reports that the endpoint is unreachable. */
 const ownAnswerMilliseconds = 1_000;
 
 /**
- * What a node believes of one endpoint, from four sources: its own calls, the endpoint's status, the reports of peers, and
- * the platform's list of machines. The first source that says "leaving" suffices; it ends only when that source takes it
- * back.
+ * Tracks the state of one endpoint from four sources: this node's own calls, the endpoint's status, the reports of peers and
+ * the VM list of the platform. One source that reports "leaving" is sufficient. The VM list and the other sources are
+ * tracked separately, so that neither cancels a "leaving" of the other.
  */
 export class EndpointBelief {
     private readonly endpoint: string;
@@ -25,7 +25,7 @@
         this.layers = layers;
     }
 
-    /** Creates the belief at the start: serving, with the layers of the configuration. */
+    /** Creates the initial state: serving, with the layers of the configuration. */
     static create(endpoint: string, layers: readonly LayerRange[]): EndpointBelief {
         return new EndpointBelief(endpoint, layers);
     }
@@ -38,7 +38,7 @@
         return { endpoint, layers, state: this.isUnreachable ? "unreachable" : "serving" };
     }
 
-    /** Takes the layers of a new configuration, unless the engine has reported its own. */
+    /** Sets the layers of a new configuration, unless the engine has reported its own. */
     setConfiguredLayers(layers: readonly LayerRange[]): void {
         if (!this.hasReportedLayers) {
             this.layers = layers;
--- a/src/connection/endpoint/endpointDirectory.ts
+++ b/src/connection/endpoint/endpointDirectory.ts
@@ -17,27 +17,27 @@
     onStateChanged(state: EndpointState): void;
 }
 
-/** What the directory holds of one endpoint. */
+/** Configuration, state and connections of one endpoint. */
 interface EndpointEntry {
     name: string;
     configuration: EndpointConfiguration;
-    belief: EndpointBelief;
+    tracker: EndpointBelief;
     engine?: EngineConnection;
     document?: DocumentConnection;
 }
 
-/** Engines of a data centre that are probed together, at most; bounds what an outage costs the nodes and the network. */
+/** Maximum number of engines of a data centre that are probed together. Limits the load that an outage causes. */
 const maximumNeighbours = 16;
-/** Shortest time between two such rounds of probes of a data centre, in milliseconds. */
-const neighbourProbeMilliseconds = 1_000;
+/** Minimum time between two probe rounds of a data centre. */
+const neighbourProbeIntervalMilliseconds = 1_000;
 
-/** All endpoints of the configuration in force: their connections, and what this node believes of them. */
+/** The endpoints of the current configuration, with their connections and states. */
 export class EndpointDirectory {
     private readonly options: EndpointDirectoryOptions;
     private readonly entries = new Map<string, EndpointEntry>();
     private readonly namesByAddress = new Map<string, string>();
-    /** When the engines of a data centre were last probed together. */
-    private readonly neighboursProbedAt = new Map<string, number>();
+    /** Monotonic time of the last probe round of each data centre, in milliseconds. */
+    private readonly neighbourProbeTimes = new Map<string, number>();
 
     private constructor(options: EndpointDirectoryOptions) {
         this.options = options;
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Takes the endpoints of a new configuration. Connections of endpoints that stay are kept; passes of requests in
-     * progress end on those that go.
+     * Applies the endpoints of a new configuration. Unchanged endpoints keep their connections. Passes in progress at removed
+     * endpoints fail.
      */
     update(configuration: Pick<Configuration, "endpoints">): void {
         for (const entry of [...this.entries.values()]) {
@@ -60,11 +60,11 @@
             }
         }
         for (const [name, endpoint] of Object.entries(configuration.endpoints)) {
-            this.addOrChange(name, endpoint);
+            this.addOrUpdate(name, endpoint);
         }
     }
 
-    /** Names of the endpoints of a kind. */
+    /** Gets the names of the endpoints of a kind. */
     getNames(kind: EndpointConfiguration["kind"]): string[] {
         const names: string[] = [];
         for (const entry of this.entries.values()) {
@@ -76,12 +76,12 @@
     }
 
     getState(name: string): EndpointState | undefined {
-        return this.entries.get(name)?.belief.getState();
+        return this.entries.get(name)?.tracker.getState();
     }
 
     /** Gets the states of all endpoints, for operators. */
     getStates(): EndpointState[] {
-        return [...this.entries.values()].map(entry => entry.belief.getState());
+        return [...this.entries.values()].map(entry => entry.tracker.getState());
     }
 
     getEngine(name: string): EngineConnection | undefined {
@@ -92,45 +92,45 @@
         return this.entries.get(name)?.document;
     }
 
-    /** Takes an engine's own status. */
+    /** Records the status of an engine. */
     observeStatus(name: string, status: EngineStatus): void {
-        this.change(name, belief => belief.observeStatus(status));
+        this.updateState(name, tracker => tracker.observeStatus(status));
     }
 
-    /** Notes that an endpoint answered. */
+    /** Records that an endpoint answered. */
     observeAnswer(name: string): void {
-        this.change(name, belief => belief.observeAnswer(this.options.clock.getMonotonicTime()));
+        this.updateState(name, tracker => tracker.observeAnswer(this.options.clock.getMonotonicTime()));
     }
 
     /**
-     * Notes that no new connection to an endpoint answers. What ends one endpoint often ends its data centre, so the
-     * engines in use there are probed at once, before their passes are overdue.
+     * Records that an endpoint does not answer over new connections. Outages often affect a whole data centre, so the
+     * engines in use there are probed immediately, before the deadlines of their passes.
      */
     observeUnreachable(name: string): void {
-        this.change(name, belief => belief.observeUnreachable());
+        this.updateState(name, tracker => tracker.observeUnreachable());
         const entry = this.entries.get(name);
         if (entry?.configuration.kind === "engine") {
             this.probeNeighbours(entry.configuration.dataCentre);
         }
     }
 
-    /** Notes that an endpoint refused new work because it is leaving. */
+    /** Records that an endpoint refused new work because it is leaving. */
     observeLeavingRefusal(name: string): void {
-        this.change(name, belief => belief.observeLeavingRefusal());
+        this.updateState(name, tracker => tracker.observeLeavingRefusal());
     }
 
-    /** Takes what a peer has observed. */
+    /** Records the observation of a peer. */
     observePeerReport(name: string, observation: EndpointObservation): void {
         const now = this.options.clock.getMonotonicTime();
-        this.change(name, belief => belief.observePeerReport(observation, now));
+        this.updateState(name, tracker => tracker.observePeerReport(observation, now));
     }
 
-    /** Takes the platform's list of machines, which lags. */
+    /** Records the VM list of the platform, which may be outdated. */
     observeVms(records: readonly VmRecord[]): void {
         for (const record of records) {
             const name = this.namesByAddress.get(record.address);
             if (name !== undefined) {
-                this.change(name, belief => belief.observeVm(record.state));
+                this.updateState(name, tracker => tracker.observeVm(record.state));
             }
         }
     }
@@ -144,14 +144,14 @@
 
     private probeNeighbours(dataCentre: string): void {
         const now = this.options.clock.getMonotonicTime();
-        const probedAt = this.neighboursProbedAt.get(dataCentre) ?? Number.NEGATIVE_INFINITY;
-        if (now - probedAt < neighbourProbeMilliseconds) {
+        const probedAt = this.neighbourProbeTimes.get(dataCentre) ?? Number.NEGATIVE_INFINITY;
+        if (now - probedAt < neighbourProbeIntervalMilliseconds) {
             return;
         }
-        this.neighboursProbedAt.set(dataCentre, now);
+        this.neighbourProbeTimes.set(dataCentre, now);
         let neighbours = 0;
-        for (const { name, configuration, belief, engine } of this.entries.values()) {
-            const isNeighbour = configuration.dataCentre === dataCentre && belief.getState().state !== "unreachable";
+        for (const { name, configuration, tracker, engine } of this.entries.values()) {
+            const isNeighbour = configuration.dataCentre === dataCentre && tracker.getState().state !== "unreachable";
             if (!isNeighbour || engine?.isInUse() !== true) {
                 continue;
             }
@@ -165,33 +165,33 @@
 
     private async probe(name: string, engine: EngineConnection): Promise<void> {
         if (!await engine.isAnswering()) {
-            this.change(name, belief => belief.observeUnreachable());
+            this.updateState(name, tracker => tracker.observeUnreachable());
         }
     }
 
-    private change(name: string, apply: (belief: EndpointBelief) => void): void {
+    private updateState(name: string, update: (tracker: EndpointBelief) => void): void {
         const entry = this.entries.get(name);
         if (entry === undefined) {
             return;
         }
-        const before = entry.belief.getState();
-        apply(entry.belief);
-        const after = entry.belief.getState();
+        const before = entry.tracker.getState();
+        update(entry.tracker);
+        const after = entry.tracker.getState();
         if (before.state !== after.state) {
             this.options.onStateChanged(after);
         }
     }
 
-    private addOrChange(name: string, configuration: EndpointConfiguration): void {
+    private addOrUpdate(name: string, configuration: EndpointConfiguration): void {
         const entry = this.entries.get(name);
         if (entry !== undefined) {
             entry.configuration = configuration;
-            entry.belief.setConfiguredLayers(configuration.layers);
+            entry.tracker.setConfiguredLayers(configuration.layers);
             return;
         }
-        const belief = EndpointBelief.create(name, configuration.layers);
+        const tracker = EndpointBelief.create(name, configuration.layers);
         const connections = this.createConnections(name, configuration);
-        this.entries.set(name, { name, configuration, belief, ...connections });
+        this.entries.set(name, { name, configuration, tracker, ...connections });
         this.namesByAddress.set(configuration.address, name);
     }
 
--- a/src/connection/endpoint/endpointObservation.ts
+++ b/src/connection/endpoint/endpointObservation.ts
@@ -1,8 +1,8 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
-/** What an observing node saw of an endpoint. */
+/** An endpoint's state as observed by a node. */
 export interface EndpointObservation {
     state: "serving" | "leaving" | "unreachable";
-    /** Layer ranges held; empty where none were reported, as for document endpoints. */
+    /** Layer ranges that the endpoint holds. Empty if none were reported, as for document endpoints. */
     layers: readonly LayerRange[];
 }
--- a/src/connection/endpoint/endpointObserver.ts
+++ b/src/connection/endpoint/endpointObserver.ts
@@ -10,35 +10,38 @@
     directory: EndpointDirectory;
     clock: Clock;
     random: RandomSource;
-    /** Mean time between two readings of one endpoint, in milliseconds. */
+    /** Mean time between two status reads of one endpoint. */
     intervalMilliseconds: number;
-    /** Gets by how much rare work is stretched, so that its sum over all nodes stays the same; 1 for few nodes. */
+    /**
+     * Gets the factor by which the intervals of infrequent work grow with the number of nodes, so that its total over all
+     * nodes stays constant. It is 1 for few nodes.
+     */
     getStretch(): number;
-    /** Tells whether this node is one of those that observe an endpoint. */
+    /** Gets if this node is an observer of an endpoint. */
     isObserver(endpoint: string): boolean;
-    /** Takes each reading of an engine. */
+    /** Called with each status of an engine. */
     onStatus(endpoint: string, status: EngineStatus): void;
-    /** Takes a report that differs enough from the last one to be told to the other nodes. */
+    /** Called with each report that has to be sent to the other nodes. */
     onReport(report: EndpointReport): void;
 }
 
-/** What was last told of an endpoint. */
-interface ToldReport {
+/** The last published report of an endpoint. */
+interface PublishedReport {
     report: EndpointReport;
-    toldAt: number;
+    publishedAt: number;
 }
 
-const jitter = 0.2;
-/** An unchanged report is told again after this time, times the stretch. */
+const jitterShare = 0.2;
+/** An unchanged report is published again after this time, multiplied by the stretch. */
 const refreshMilliseconds = 5_000;
-/** A queue that changed by less than this share and few passes is not told. */
+/** A change of the queue depth is published only if it exceeds both this share and this number of passes. */
 const queueChangeShare = 0.25;
 const queueChangePasses = 4;
 
-/** Reads the status of those engines that this node observes, in turn, and reports what has changed. */
+/** Reads the status of the engines that this node observes at intervals, and publishes reports of changes. */
 export class EndpointObserver {
     private readonly options: EndpointObserverOptions;
-    private readonly told = new Map<string, ToldReport>();
+    private readonly published = new Map<string, PublishedReport>();
     private readonly pending = new Set<string>();
     private timer: TimerHandle | undefined;
     private isStopped = false;
@@ -48,17 +51,17 @@
         this.options = options;
     }
 
-    /** Creates an observer that does nothing before {@link EndpointObserver.start}. */
+    /** Creates an observer that is idle until {@link EndpointObserver.start} is called. */
     static create(options: EndpointObserverOptions): EndpointObserver {
         return new EndpointObserver(options);
     }
 
-    /** Starts the rounds with one at once. */
+    /** Runs the first round immediately and schedules further ones. */
     start(): void {
         if (this.isStopped) {
             return;
         }
-        // An engine that only this node finds unreachable is asked by this node, too.
+        // An engine may be unreachable only for this node, so this node also checks those that it doesn't observe.
         const isUnreachableRound = this.round % Math.ceil(this.options.getStretch()) === 0;
         this.round += 1;
         for (const endpoint of this.options.directory.getNames("engine")) {
@@ -73,7 +76,7 @@
             }
         }
         const { intervalMilliseconds, random, clock } = this.options;
-        const delayMilliseconds = intervalMilliseconds * (1 + jitter * (2 * random() - 1));
+        const delayMilliseconds = intervalMilliseconds * (1 + jitterShare * (2 * random() - 1));
         this.timer = clock.setTimer(delayMilliseconds, () => this.start());
     }
 
@@ -97,16 +100,16 @@
         if (status.ok) {
             this.options.directory.observeStatus(endpoint, status.val);
             this.options.onStatus(endpoint, status.val);
-            this.tell(this.createReport(endpoint, status.val));
+            this.publish(this.createReport(endpoint, status.val));
             return;
         }
         if (!await engine.isAnswering()) {
             this.options.directory.observeUnreachable(endpoint);
-            this.tell(this.createReport(endpoint, undefined));
+            this.publish(this.createReport(endpoint, undefined));
         }
     }
 
-    /** A document endpoint that has failed is tried until it takes connections again. */
+    /** Checks if a document endpoint that failed accepts connections again. */
     private async observeDocument(endpoint: string): Promise<void> {
         const document = this.options.directory.getDocument(endpoint);
         if (document === undefined || this.pending.has(endpoint)) {
@@ -134,16 +137,16 @@
         };
     }
 
-    private tell(report: EndpointReport): void {
+    private publish(report: EndpointReport): void {
         const now = this.options.clock.getMonotonicTime();
-        const last = this.told.get(report.endpoint);
+        const last = this.published.get(report.endpoint);
         if (
-            last !== undefined && now - last.toldAt < refreshMilliseconds * this.options.getStretch()
+            last !== undefined && now - last.publishedAt < refreshMilliseconds * this.options.getStretch()
             && !hasChanged(last.report, report)
         ) {
             return;
         }
-        this.told.set(report.endpoint, { report, toldAt: now });
+        this.published.set(report.endpoint, { report, publishedAt: now });
         this.options.onReport(report);
     }
 }
--- a/src/connection/endpoint/endpointState.ts
+++ b/src/connection/endpoint/endpointState.ts
@@ -1,10 +1,10 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
-/** What this node believes of an endpoint now. */
+/** State of an endpoint, as this node currently knows it. */
 export interface EndpointState {
     endpoint: string;
-    /** `serving` takes new work; `leaving` finishes what it has; `unreachable` failed its last probes. */
+    /** `serving` accepts new work, `leaving` only finishes its current work, `unreachable` failed its last probes. */
     state: "serving" | "leaving" | "unreachable";
-    /** Layer ranges that the engine reported, or those of the configuration before the first report. */
+    /** Layer ranges that the engine reported; before its first report, those of the configuration. */
     layers: readonly LayerRange[];
 }
--- a/src/connection/endpoint/engineCalls.ts
+++ b/src/connection/endpoint/engineCalls.ts
@@ -10,13 +10,13 @@
 /** Options of {@link EngineCalls}. */
 interface EngineCallsOptions {
     endpoint: string;
-    /** Gets the connections to use now; silent ones are replaced. */
+    /** Gets the connection pool to use. It changes when connections that stopped responding are replaced. */
     getDispatcher(): Dispatcher;
 }
 
 const callTimeoutMilliseconds = 2_000;
 
-/** The calls to an engine that are no passes. */
+/** The calls to an engine other than passes. */
 export class EngineCalls {
     private readonly options: EngineCallsOptions;
 
@@ -24,17 +24,17 @@
         this.options = options;
     }
 
-    /** Creates the calls to one engine. */
+    /** Creates the calls of one engine. */
     static create(options: EngineCallsOptions): EngineCalls {
         return new EngineCalls(options);
     }
 
-    /** Frees a sequence; a failure is of no consequence, since idle sequences lapse at the engine. */
+    /** Frees a sequence at the engine. Errors are ignored, because the engine frees idle sequences itself. */
     async cancel(order: CancelOrder): Promise<void> {
         await this.call("POST", "/v1/cancel", order);
     }
 
-    /** Reads the engine's status. */
+    /** Gets the status of the engine. */
     async getStatus(): Promise<Result<EngineStatus, PassFailure>> {
         const answer = await this.call("GET", "/v1/status");
         if (!answer.ok) {
@@ -44,10 +44,10 @@
         const { endpoint } = this.options;
         return status.success
             ? Ok(status.data)
-            : Err(createPassFailure(endpoint, "failed", "status of a wrong shape"));
+            : Err(createPassFailure(endpoint, "failed", "the status does not match the schema"));
     }
 
-    /** Sends an order; the status code tells whether the engine took it (200) or found its number old (409). */
+    /** Sends an order. Returns the HTTP status: 200 if the engine accepted it, 409 if its fencing number is outdated. */
     async sendOrder(order: EngineOrder): Promise<Result<number, PassFailure>> {
         const answer = await this.call("POST", "/v1/orders", order);
         return answer.ok ? Ok(answer.val.status) : answer;
--- a/src/connection/endpoint/engineConnection.ts
+++ b/src/connection/endpoint/engineConnection.ts
@@ -16,35 +16,36 @@
 /** Options of an {@link EngineConnection}. */
 export interface EngineConnectionOptions {
     endpoint: string;
-    /** host:port. */
+    /** Address of the engine, as host:port. */
     address: string;
     clock: Clock;
-    /** Called for each pass that was answered, with the time that it took in milliseconds. */
+    /** Called for each pass with a result, with the time from the send to the result in milliseconds. */
     onAnswered(endpoint: string, pass: Pass, result: PassResult, elapsedMilliseconds: number): void;
-    /** Called when a connection has gone silent while new ones work, and is replaced. */
+    /** Called when the connections are replaced, because one stopped responding while a new one works. */
     onSilentConnection(endpoint: string): void;
 }
 
-/** Sends of one pass, the first included, before the endpoint is given up. */
+/** Maximum number of times one pass is sent, including the first. */
 const maximumSends = 4;
-/** Positions of long passes on their way to the engine. Measured in docs/design/recovery.md. */
-const prefillPositions = 256;
-/** Reasons of a refusal that prove that the pass did not run; `cancelled` and `order` do not. */
+/** Maximum number of positions of prefill passes in flight to the engine; see docs/design/recovery.md. */
+const maximumPrefillPositions = 256;
+/** Refusal reasons that guarantee that the pass did not run; `cancelled` and `order` do not. */
 const notRunReasons: ReadonlySet<string> = new Set(["leaving", "memory", "layers", "model"]);
 
 /**
- * The connections of this node to one model engine. Passes handed over in one turn of the event loop leave in one batch.
- * A pass that is overdue makes the connection doubtful: the engine is probed over a new connection. If it answers, the
- * old connections are replaced and the pass is sent again, which the engine does not run twice; if not, all passes that
- * wait for the engine fail together, so that one pass finds out for all.
+ * The connections of this node to one model engine. Passes added in the same turn of the event loop are sent as one batch.
+ *
+ * When a pass exceeds its deadline, the engine is probed over a new connection. If the engine answers, the old connections
+ * are replaced and the pass is sent again; the engine doesn't run it twice. If it doesn't answer, all pending passes fail
+ * together, so that each of them need not wait for its own deadline.
  */
 export class EngineConnection {
     private readonly options: EngineConnectionOptions;
     private readonly origin: string;
     private readonly deadline = HopDeadline.create();
     private readonly waiting = new Map<number, WaitingPass>();
-    private readonly prefillWindow = PrefillWindow.create(prefillPositions);
-    private outgoing: WaitingPass[] = [];
+    private readonly prefillWindow = PrefillWindow.create(maximumPrefillPositions);
+    private queued: WaitingPass[] = [];
     private readonly pool: EnginePool;
     private readonly calls: EngineCalls;
     private nextId = 1;
@@ -62,55 +63,55 @@
         this.reachability = EngineReachability.create({
             clock: options.clock,
             probe: () => probeEngine(this.origin, this.deadline.getProbeTimeout()),
-            onSilent: () => this.failAll("no answer to a probe"),
+            onSilent: () => this.failAll("no response to a probe"),
         });
     }
 
-    /** Creates the connections; nothing is opened before the first pass. */
+    /** Creates the connection pool. Connections open with the first pass. */
     static create(options: EngineConnectionOptions): EngineConnection {
         return new EngineConnection(options);
     }
 
     /**
-     * Runs one pass at the engine. Where the engine has not answered for a while, a probe goes with it, so that a dead
-     * one shows before the first deadline.
-     * @param pass - The pass; its `id` is chosen here.
-     * @param positions - Positions that the pass covers, as far as known; the deadline depends on it.
+     * Runs one pass at the engine. If the engine has not answered for a while, it is probed at the same time, so that a
+     * dead engine is detected before the deadline of the pass.
+     * @param pass - The pass. Its `id` is assigned here.
+     * @param positions - Number of positions that the pass covers, as far as known. The deadline depends on it.
      */
     runPass(pass: Omit<Pass, "id">, positions: number): Promise<Result<PassResult, PassFailure>> {
         this.reachability.observeUse();
         return new Promise(resolve => {
-            const waitingPass = this.createWaitingPass({ ...pass, id: this.nextId++ }, positions, resolve);
+            const pendingPass = this.createWaitingPass({ ...pass, id: this.nextId++ }, positions, resolve);
             if (this.isClosed || this.reachability.isUnreachable()) {
-                const reason = this.isClosed ? "closed" : "no answer to a probe";
-                waitingPass.settle(Err(this.createFailure("notSent", reason)));
+                const reason = this.isClosed ? "closed" : "no response to a probe";
+                pendingPass.settle(Err(this.createFailure("notSent", reason)));
                 return;
             }
-            this.waiting.set(waitingPass.pass.id, waitingPass);
+            this.waiting.set(pendingPass.pass.id, pendingPass);
             if (positions > 1) {
-                this.prefillWindow.add(waitingPass);
+                this.prefillWindow.add(pendingPass);
                 this.enqueuePrefills();
                 return;
             }
-            this.enqueue(waitingPass);
+            this.enqueue(pendingPass);
         });
     }
 
     /**
-     * Frees a sequence at the engine; a failure is of no consequence, since idle sequences lapse there. A pass of the
-     * sequence that has not left yet fails at once.
+     * Frees a sequence at the engine. Passes of the sequence that have not been sent yet fail immediately. Errors are
+     * ignored, because the engine frees idle sequences itself.
      */
     async cancel(order: CancelOrder): Promise<void> {
-        for (const waitingPass of this.waiting.values()) {
-            const { request, attempt } = waitingPass.pass;
-            if (request === order.request && attempt === order.attempt && waitingPass.sentAt.length === 0) {
-                this.settle(waitingPass, Err(this.createFailure("notSent", "cancelled")));
+        for (const pendingPass of this.waiting.values()) {
+            const { request, attempt } = pendingPass.pass;
+            if (request === order.request && attempt === order.attempt && pendingPass.sentAt.length === 0) {
+                this.settle(pendingPass, Err(this.createFailure("notSent", "cancelled")));
             }
         }
         await this.calls.cancel(order);
     }
 
-    /** Reads the engine's status. */
+    /** Gets the status of the engine. */
     async getStatus(): Promise<Result<EngineStatus, PassFailure>> {
         const status = await this.calls.getStatus();
         if (status.ok) {
@@ -119,29 +120,29 @@
         return status;
     }
 
-    /** Sends an order; the status code tells whether the engine took it (200) or found its number old (409). */
+    /** Sends an order. Returns the HTTP status: 200 if the engine accepted it, 409 if its fencing number is outdated. */
     sendOrder(order: EngineOrder): Promise<Result<number, PassFailure>> {
         return this.calls.sendOrder(order);
     }
 
     /**
-     * Probes the engine over a new connection. Probes that come while one runs share its answer. Where there is none,
-     * all passes that wait fail.
+     * Probes the engine over a new connection and gets if it answers. Concurrent calls share one probe. If the probe gets
+     * no response, all pending passes fail.
      */
     isAnswering(): Promise<boolean> {
         return this.reachability.probe();
     }
 
-    /** Tells whether this node gave the engine a pass not long ago. */
+    /** Gets if this node recently sent a pass to the engine. */
     isInUse(): boolean {
         return this.reachability.isInUse();
     }
 
-    /** Closes the connections; passes that wait fail. */
+    /** Closes the connections and fails the pending passes. */
     async close(): Promise<void> {
         this.isClosed = true;
-        for (const waitingPass of this.waiting.values()) {
-            this.settle(waitingPass, Err(this.createFailure("unreachable", "closed")));
+        for (const pendingPass of this.waiting.values()) {
+            this.settle(pendingPass, Err(this.createFailure("unreachable", "closed")));
         }
         await this.pool.destroy();
     }
@@ -163,85 +164,88 @@
     }
 
     private enqueuePrefills(): void {
-        for (const waitingPass of this.prefillWindow.takeReady()) {
-            this.enqueue(waitingPass);
+        for (const pendingPass of this.prefillWindow.takeReady()) {
+            this.enqueue(pendingPass);
         }
     }
 
-    private enqueue(waitingPass: WaitingPass): void {
-        this.outgoing.push(waitingPass);
-        if (this.outgoing.length === 1) {
+    private enqueue(pendingPass: WaitingPass): void {
+        this.queued.push(pendingPass);
+        if (this.queued.length === 1) {
             setImmediate(() => this.flush());
         }
     }
 
     private flush(): void {
-        const batch = this.outgoing.filter(waitingPass => this.waiting.has(waitingPass.pass.id));
-        this.outgoing = [];
+        const batch = this.queued.filter(pendingPass => this.waiting.has(pendingPass.pass.id));
+        this.queued = [];
         if (batch.length === 0) {
             return;
         }
-        for (const waitingPass of batch) {
-            this.startDeadline(waitingPass);
+        for (const pendingPass of batch) {
+            this.startDeadline(pendingPass);
         }
         this.sendBatch(batch);
     }
 
-    private startDeadline(waitingPass: WaitingPass): void {
-        const sends = waitingPass.sentAt.push(this.options.clock.getMonotonicTime());
-        const deadlineMilliseconds = this.deadline.getDeadline(waitingPass.positions) * sends;
-        const timer = this.options.clock.setTimer(deadlineMilliseconds, () => void this.handleOverdue(waitingPass));
-        waitingPass.cancelTimer = () => timer.cancel();
+    private startDeadline(pendingPass: WaitingPass): void {
+        const sends = pendingPass.sentAt.push(this.options.clock.getMonotonicTime());
+        const deadlineMilliseconds = this.deadline.getDeadline(pendingPass.positions) * sends;
+        const timer = this.options.clock.setTimer(
+            deadlineMilliseconds,
+            () => void this.handleDeadlineExceeded(pendingPass),
+        );
+        pendingPass.cancelTimer = () => timer.cancel();
     }
 
     private sendBatch(batch: WaitingPass[]): void {
-        const sends = new Map(batch.map(waitingPass => [waitingPass.pass.id, waitingPass.sentAt.length]));
+        const sends = new Map(batch.map(pendingPass => [pendingPass.pass.id, pendingPass.sentAt.length]));
         sendPassBatch({
             pool: this.pool.getDispatcher(),
-            passes: batch.map(waitingPass => waitingPass.pass),
+            passes: batch.map(pendingPass => pendingPass.pass),
             onResult: result => this.handleResult(result, sends.get(result.id)),
             onClosed: closing => this.handleBatchClosed(batch, sends, closing),
         });
     }
 
-    /** @param send - Which send of the pass brought the result, from 1; undefined where its batch had no such pass. */
+    /** @param send - Number of the send that returned the result, from 1; undefined if the batch has no such pass. */
     private handleResult(result: PassResult, send: number | undefined): void {
         this.reachability.observeAnswer();
-        const waitingPass = this.waiting.get(result.id);
-        if (waitingPass === undefined || send === undefined) {
+        const pendingPass = this.waiting.get(result.id);
+        if (pendingPass === undefined || send === undefined) {
             return;
         }
         if (result.outcome !== "done") {
             const reason = result.reason ?? result.outcome;
-            const isSurelyNotRun = result.outcome === "refused" && notRunReasons.has(reason);
-            this.settle(waitingPass, Err(this.createFailure(isSurelyNotRun ? "refused" : "failed", reason)));
+            const isGuaranteedNotRun = result.outcome === "refused" && notRunReasons.has(reason);
+            this.settle(pendingPass, Err(this.createFailure(isGuaranteedNotRun ? "refused" : "failed", reason)));
             return;
         }
-        const elapsedMilliseconds = this.options.clock.getMonotonicTime() - waitingPass.sentAt[send - 1]!;
+        const elapsedMilliseconds = this.options.clock.getMonotonicTime() - pendingPass.sentAt[send - 1]!;
         this.deadline.observe(result.count, elapsedMilliseconds);
-        this.options.onAnswered(this.options.endpoint, waitingPass.pass, result, elapsedMilliseconds);
-        this.settle(waitingPass, Ok(result));
+        this.options.onAnswered(this.options.endpoint, pendingPass.pass, result, elapsedMilliseconds);
+        this.settle(pendingPass, Ok(result));
     }
 
-    /** The answer of a batch has ended: passes without a result are sent again, if the engine still answers. */
+    /** Handles the end of a batch's response: passes without a result are sent again if the engine still answers. */
     private handleBatchClosed(
         batch: readonly WaitingPass[],
         sends: ReadonlyMap<number, number>,
         closing: BatchClosing,
     ): void {
-        for (const waitingPass of batch) {
-            const isCurrentSend = waitingPass.sentAt.length === sends.get(waitingPass.pass.id);
-            if (isCurrentSend && this.waiting.has(waitingPass.pass.id)) {
-                waitingPass.mayHaveArrived ||= closing.mayHaveArrived;
-                void this.resendOrFail(waitingPass, closing.reason);
+        for (const pendingPass of batch) {
+            const isCurrentSend = pendingPass.sentAt.length === sends.get(pendingPass.pass.id);
+            if (isCurrentSend && this.waiting.has(pendingPass.pass.id)) {
+                pendingPass.mayHaveArrived ||= closing.mayHaveArrived;
+                void this.resendOrFail(pendingPass, closing.reason);
             }
         }
     }
 
-    private async handleOverdue(waitingPass: WaitingPass): Promise<void> {
-        waitingPass.mayHaveArrived = true;
+    private async handleDeadlineExceeded(pendingPass: WaitingPass): Promise<void> {
+        pendingPass.mayHaveArrived = true;
         const dispatcher = this.pool.getDispatcher();
-        await this.resendOrFail(waitingPass, "no answer in time", () => {
+        await this.resendOrFail(pendingPass, "no response before the deadline", () => {
             if (dispatcher === this.pool.getDispatcher()) {
                 this.pool.replace();
                 this.options.onSilentConnection(this.options.endpoint);
@@ -249,41 +253,41 @@
         });
     }
 
-    private async resendOrFail(waitingPass: WaitingPass, reason: string, onAnswering?: () => void): Promise<void> {
-        if (waitingPass.isDoubtful) {
+    private async resendOrFail(pendingPass: WaitingPass, reason: string, onAnswering?: () => void): Promise<void> {
+        if (pendingPass.isDoubtful) {
             return;
         }
-        waitingPass.isDoubtful = true;
-        waitingPass.cancelTimer();
-        const isAnswering = waitingPass.sentAt.length < maximumSends && await this.isAnswering();
-        waitingPass.isDoubtful = false;
-        if (!this.waiting.has(waitingPass.pass.id)) {
+        pendingPass.isDoubtful = true;
+        pendingPass.cancelTimer();
+        const isAnswering = pendingPass.sentAt.length < maximumSends && await this.isAnswering();
+        pendingPass.isDoubtful = false;
+        if (!this.waiting.has(pendingPass.pass.id)) {
             return;
         }
         if (!isAnswering) {
-            const kind = waitingPass.mayHaveArrived ? "unreachable" : "notSent";
-            this.settle(waitingPass, Err(this.createFailure(kind, reason)));
+            const kind = pendingPass.mayHaveArrived ? "unreachable" : "notSent";
+            this.settle(pendingPass, Err(this.createFailure(kind, reason)));
             return;
         }
         onAnswering?.();
-        this.enqueue(waitingPass);
+        this.enqueue(pendingPass);
     }
 
-    private settle(waitingPass: WaitingPass, outcome: Result<PassResult, PassFailure>): void {
-        waitingPass.cancelTimer();
-        this.waiting.delete(waitingPass.pass.id);
-        waitingPass.settle(outcome);
-        if (waitingPass.positions > 1) {
-            this.prefillWindow.remove(waitingPass);
+    private settle(pendingPass: WaitingPass, outcome: Result<PassResult, PassFailure>): void {
+        pendingPass.cancelTimer();
+        this.waiting.delete(pendingPass.pass.id);
+        pendingPass.settle(outcome);
+        if (pendingPass.positions > 1) {
+            this.prefillWindow.remove(pendingPass);
             this.enqueuePrefills();
         }
     }
 
     private failAll(reason: string): void {
-        for (const waitingPass of this.waiting.values()) {
-            const isOnItsWay = waitingPass.sentAt.length > 0 && !waitingPass.isDoubtful;
-            const mayHaveArrived = waitingPass.mayHaveArrived || isOnItsWay;
-            this.settle(waitingPass, Err(this.createFailure(mayHaveArrived ? "unreachable" : "notSent", reason)));
+        for (const pendingPass of this.waiting.values()) {
+            const isInFlight = pendingPass.sentAt.length > 0 && !pendingPass.isDoubtful;
+            const mayHaveArrived = pendingPass.mayHaveArrived || isInFlight;
+            this.settle(pendingPass, Err(this.createFailure(mayHaveArrived ? "unreachable" : "notSent", reason)));
         }
     }
 
--- a/src/connection/endpoint/enginePool.ts
+++ b/src/connection/endpoint/enginePool.ts
@@ -3,10 +3,10 @@
 
 const maximumConnections = 64;
 const connectTimeoutMilliseconds = 1_000;
-/** Replaced connections are cut after this time, where their answers have not ended. */
-const retireMilliseconds = 2_000;
+/** Time after which replaced connections are closed, even if responses are still in progress. */
+const retirementMilliseconds = 2_000;
 
-/** The open connections to one engine, which are replaced together when one has gone silent. */
+/** The connection pool of one engine. All its connections are replaced together when one stops responding. */
 export class EnginePool {
     private readonly origin: string;
     private readonly clock: Clock;
@@ -19,27 +19,27 @@
     }
 
     /**
-     * Creates the connections; none is open yet.
+     * Creates a pool without open connections.
      * @param origin - Scheme, host and port of the engine.
-     * @param clock - Clock for the end of replaced connections.
+     * @param clock - Clock that times the closing of replaced connections.
      */
     static create(origin: string, clock: Clock): EnginePool {
         return new EnginePool(origin, clock);
     }
 
-    /** Gets the connections to use now. */
+    /** Gets the dispatcher for new calls. */
     getDispatcher(): Dispatcher {
         return this.pool;
     }
 
-    /** New calls use new connections from here on; the old ones may still end their answers for a while. */
+    /** Makes new calls use new connections. Responses in progress may still complete on the old ones for a short time. */
     replace(): void {
         const oldPool = this.pool;
         this.pool = createPool(this.origin);
-        this.clock.setTimer(retireMilliseconds, () => void oldPool.destroy());
+        this.clock.setTimer(retirementMilliseconds, () => void oldPool.destroy());
     }
 
-    /** Cuts all connections. */
+    /** Closes all connections and aborts their calls. */
     async destroy(): Promise<void> {
         await this.pool.destroy();
     }
--- a/src/connection/endpoint/engineProtocol.ts
+++ b/src/connection/endpoint/engineProtocol.ts
@@ -1,21 +1,22 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
 /**
- * The messages that model engines understand, as JSON over HTTP/1.1.
+ * The protocol of model engines: JSON over HTTP/1.1.
  *
- * - `POST /v1/passes` takes a {@link PassBatch}; the answer is `application/x-ndjson`, one {@link PassResult}
- *   a line, each as soon as it is known. A pass that is sent again (same request, attempt, position and layer range)
- *   is not run again: the kept or coming result is returned.
- * - `POST /v1/cancel` takes a {@link CancelOrder}: frees the sequence; later passes of that attempt are refused.
- * - `GET /v1/status` returns an {@link EngineStatus}, whose load lags.
- * - `GET /v1/cache-events?after=N` returns `{ "events": CacheEvent[] }`, late and with gaps in `sequence`.
- * - `POST /v1/cache/export` takes `{ request, attempt }` and returns a {@link CacheBlob};
- *   `POST /v1/cache/import` takes a {@link CacheBlob}.
- * - `POST /v1/orders` takes an {@link EngineOrder}; 409 where the fencing number is old and the engine checks it.
- * - `GET /v1/health` answers 200 at once.
+ * - `POST /v1/passes` accepts a {@link PassBatch} and returns `application/x-ndjson` with one {@link PassResult} per line,
+ *   each as soon as it is available. A pass that is sent again (same request, attempt, position and layer range) is not
+ *   run again: its stored or pending result is returned.
+ * - `POST /v1/cancel` accepts a {@link CancelOrder} and frees the sequence. Later passes of that attempt are refused.
+ * - `GET /v1/status` returns an {@link EngineStatus}. Its load figures are delayed.
+ * - `GET /v1/cache-events?after=N` returns `{ "events": CacheEvent[] }`, delayed and with gaps in `sequence`.
+ * - `POST /v1/cache/export` accepts `{ request, attempt }` and returns a {@link CacheBlob}.
+ *   `POST /v1/cache/import` accepts a {@link CacheBlob}.
+ * - `POST /v1/orders` accepts an {@link EngineOrder}. It returns 409 if the engine checks fencing numbers and this one is
+ *   outdated.
+ * - `GET /v1/health` immediately returns 200.
  */
 export interface Pass {
-    /** Number that the sender chose, unique on the batch's connection; returned in the result. */
+    /** Number that the sender assigns, unique on the connection of the batch. The result contains it. */
     id: number;
     request: string;
     attempt: number;
@@ -25,13 +26,13 @@
     layerStart: number;
     layerEnd: number;
     priority: number;
-    /** Prompt, for a pass that starts at layer 0 and position 0; its tokens come before `tokens`. */
+    /** Prompt of a pass that starts at layer 0 and position 0. Its tokens precede `tokens`. */
     text?: string;
-    /** Tokens, for a pass that starts at layer 0. */
+    /** Tokens of a pass that starts at layer 0. */
     tokens?: number[];
-    /** Activations, one number a position in the stand-ins, for a pass that starts at a later layer. */
+    /** Activations of a pass that starts at a later layer; one number per position in the stand-ins. */
     hidden?: number[];
-    /** Whether the positions ran in an earlier attempt; the engine records them apart. */
+    /** Whether the positions already ran in an earlier attempt. The engine records them separately. */
     rebuild?: boolean;
 }
 
@@ -40,29 +41,29 @@
     passes: Pass[];
 }
 
-/** Answer to one pass. */
+/** Result of one pass. */
 export interface PassResult {
     id: number;
     request: string;
     attempt: number;
     position: number;
-    /** Positions that ran. */
+    /** Number of positions that ran. */
     count: number;
     layerStart: number;
     layerEnd: number;
-    /** `done`, or `refused`: surely not run, or `failed`: may have run in part. */
+    /** `done`, `refused` (did not run) or `failed` (may have run partially). */
     outcome: "done" | "refused" | "failed";
-    /** Activations after the last layer of the pass, one a position; absent from the model's last layer. */
+    /** Activations after the last layer of the pass, one per position. Not set for the last layer of the model. */
     hidden?: number[];
-    /** Next token, from the model's last layer, after the last position of the pass. */
+    /** Token after the last position of the pass. Set only for the last layer of the model. */
     token?: number;
     /** Text of the token. */
     text?: string;
-    /** Whether the token ends the answer; its text is empty then. */
+    /** Whether the token ends the answer. Its text is then empty. */
     end?: boolean;
-    /** Reason, where not done: `leaving`, `memory`, `layers`, `cancelled`, `order` (position out of order), `model`. */
+    /** Reason of an outcome other than `done`: `leaving`, `memory`, `layers`, `cancelled`, `order` (position out of order), `model`. */
     reason?: string;
-    /** Passes that wait at the engine. */
+    /** Number of passes in the queue of the engine. */
     queue: number;
 }
 
@@ -72,22 +73,22 @@
     attempt: number;
 }
 
-/** Answer of `GET /v1/status`. */
+/** Response of `GET /v1/status`. */
 export interface EngineStatus {
     endpoint: string;
     leaving: boolean;
     layers: LayerRange[];
-    /** Passes that wait or ran in the last step; lags. */
+    /** Number of passes that are queued or ran in the last step (delayed). */
     queue: number;
-    /** Sequences that hold memory; lags. */
+    /** Number of sequences that occupy memory (delayed). */
     sequences: number;
-    /** Positions that still fit in memory; lags. */
+    /** Number of positions that still fit into memory (delayed). */
     freePositions: number;
-    /** Highest fencing number seen. */
+    /** Highest fencing number that the engine has received. */
     fencingNumber: number;
-    /** Milliseconds since the load figures were taken. */
+    /** Age of the load figures. */
     loadAgeMilliseconds: number;
-    /** Highest sequence number of a cache event. */
+    /** Highest sequence number of the cache events. */
     cacheSequence: number;
 }
 
@@ -109,7 +110,7 @@
     data: string;
 }
 
-/** Order to an engine: states the wanted end state. */
+/** Order to an engine to load or unload a layer range. It describes the desired state. */
 export interface EngineOrder {
     fencingNumber: number;
     kind: "load" | "unload";
--- a/src/connection/endpoint/engineReachability.ts
+++ b/src/connection/endpoint/engineReachability.ts
@@ -4,20 +4,20 @@
 /** Options of an {@link EngineReachability}. */
 interface EngineReachabilityOptions {
     clock: Clock;
-    /** Asks the engine over a new connection. */
+    /** Probes the engine over a new connection. */
     probe(): Promise<ProbeOutcome>;
-    /** Called when the engine answered neither a probe nor a pass meanwhile. */
+    /** Called when a probe got no response and no pass was answered during the probe. */
     onSilent(): void;
 }
 
-/** After a failed probe the engine counts as unreachable for this long, unless it answers before. */
+/** Time for which the engine is treated as unreachable after a failed probe, unless it answers earlier. */
 const unreachableMilliseconds = 1_000;
-/** An engine counts as in use for so long after its last pass. */
+/** Time for which the engine is treated as in use after its last pass. */
 const inUseMilliseconds = 5_000;
-/** An engine that has not answered for so long is probed together with the next pass, whose deadline is not learnt. */
+/** An engine that has not answered for this long is probed with the next pass, whose deadline may not be learned yet. */
 const idleMilliseconds = 2_000;
 
-/** What one node's own calls show of whether an engine answers. At most one probe runs at a time. */
+/** Tracks from this node's own calls if an engine is reachable. At most one probe runs at a time. */
 export class EngineReachability {
     private readonly options: EngineReachabilityOptions;
     private runningProbe: Promise<boolean> | undefined;
@@ -29,12 +29,12 @@
         this.options = options;
     }
 
-    /** Creates the state of an engine that was never called. */
+    /** Creates the state of an engine that has not been called yet. */
     static create(options: EngineReachabilityOptions): EngineReachability {
         return new EngineReachability(options);
     }
 
-    /** Notes that a pass is on its way; one to an engine that has not answered for a while takes a probe with it. */
+    /** Records that a pass is sent, and probes the engine if it has not answered for a while. */
     observeUse(): void {
         this.usedAt = this.options.clock.getMonotonicTime();
         if (this.usedAt - this.answeredAt > idleMilliseconds) {
@@ -42,23 +42,23 @@
         }
     }
 
-    /** Notes that the engine answered. */
+    /** Records that the engine answered. */
     observeAnswer(): void {
         this.answeredAt = this.options.clock.getMonotonicTime();
         this.unreachableUntil = Number.NEGATIVE_INFINITY;
     }
 
-    /** Tells whether a pass was given to the engine not long ago. */
+    /** Gets if a pass was recently sent to the engine. */
     isInUse(): boolean {
         return this.options.clock.getMonotonicTime() - this.usedAt < inUseMilliseconds;
     }
 
-    /** Tells whether a probe failed not long ago and nothing was answered since. */
+    /** Gets if a recent probe failed and the engine has not answered since. */
     isUnreachable(): boolean {
         return this.options.clock.getMonotonicTime() < this.unreachableUntil;
     }
 
-    /** Probes the engine; probes that are asked for while one runs share its outcome. */
+    /** Probes the engine and gets if it answers. Concurrent calls share one probe. */
     probe(): Promise<boolean> {
         this.runningProbe ??= this.runProbe();
         return this.runningProbe;
@@ -72,12 +72,12 @@
             this.observeAnswer();
             return true;
         }
-        // A pass that was answered meanwhile shows that only the probe was slow or lost.
+        // A pass was answered during the probe, so only the probe was slow or lost.
         if (this.answeredAt > startedAt) {
             return true;
         }
         this.unreachableUntil = this.options.clock.getMonotonicTime() + unreachableMilliseconds;
-        // Where the probe was refused, the connections of passes on their way break too, and each tells whether it left.
+        // If the probe was refused, the connections of passes in flight fail too, and each error shows if the pass was sent.
         if (outcome === "silent") {
             this.options.onSilent();
         }
--- a/src/connection/endpoint/engineStatusSchema.ts
+++ b/src/connection/endpoint/engineStatusSchema.ts
@@ -6,7 +6,7 @@
     end: z.number().int().nonnegative(),
 });
 
-/** Shape of an engine's status; engines are not trusted to keep to it. */
+/** Schema of an engine's status, which is validated because engines are not trusted. */
 export const engineStatusSchema = z.object({
     endpoint: z.string(),
     leaving: z.boolean(),
--- a/src/connection/endpoint/passFailure.ts
+++ b/src/connection/endpoint/passFailure.ts
@@ -1,15 +1,15 @@
-/** Why a pass brought no result. */
+/** Why a pass returned no result. */
 export interface PassFailure {
     /**
-     * - `refused`: the endpoint said that it did not run the pass.
-     * - `failed`: the endpoint said that it failed; it may have run in part.
-     * - `unreachable`: no connection answered; the pass may have run.
-     * - `notSent`: no byte of the pass left this node.
-     * - `slow`: the endpoint answers, but so slowly that the request goes on without it.
+     * - `refused`: the endpoint reported that it did not run the pass.
+     * - `failed`: the endpoint reported a failure; the pass may have run partially.
+     * - `unreachable`: the endpoint did not respond; the pass may have run.
+     * - `notSent`: no byte of the pass was sent.
+     * - `slow`: the endpoint responds, but so slowly that the request continues without it.
      */
     kind: "refused" | "failed" | "unreachable" | "notSent" | "slow";
     endpoint: string;
-    /** The endpoint's reason, or what was seen of the connection. */
+    /** Reason given by the endpoint, or a description of the connection error. */
     reason: string;
     message: string;
 }
--- a/src/connection/endpoint/passResultSchema.ts
+++ b/src/connection/endpoint/passResultSchema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Shape of one line of an engine's answer; engines are not trusted to keep to it. */
+/** Schema of one line of an engine's response, which is validated because engines are not trusted. */
 export const passResultSchema = z.object({
     id: z.number().int(),
     request: z.string(),
--- a/src/connection/endpoint/prefillWindow.ts
+++ b/src/connection/endpoint/prefillWindow.ts
@@ -1,56 +1,58 @@
 import type { WaitingPass } from "./waitingPass.ts";
 
 /**
- * Bounds the positions of long passes (prompts and rebuilt contexts) that are on their way to one engine, as chunked
- * prefill does inside an engine. When many contexts are rebuilt at once, those that left first go on to the next stage
- * while the others run, the tokens of other streams wait for a short step instead of a long one, and an engine's answer
- * is not late only because of what this node has put before it.
+ * Limits the number of positions of prefill passes (prompts and rebuilt contexts) that are in flight to one engine, as
+ * chunked prefill does inside an engine.
+ *
+ * When many contexts are rebuilt at once, the first ones can then continue at the next stage while the others run, tokens
+ * of other streams wait for a short step instead of a long one, and passes don't exceed their deadlines only because of
+ * other passes that this node sent before.
  */
 export class PrefillWindow {
     private readonly maximumPositions: number;
-    private readonly onItsWay = new Set<WaitingPass>();
-    private held: WaitingPass[] = [];
-    private positions = 0;
+    private readonly inFlight = new Set<WaitingPass>();
+    private queued: WaitingPass[] = [];
+    private inFlightPositions = 0;
 
     private constructor(maximumPositions: number) {
         this.maximumPositions = maximumPositions;
     }
 
-    /** @param maximumPositions - Most positions on their way; one longer pass goes alone. */
+    /** @param maximumPositions - Maximum number of positions in flight. A longer pass is sent when no other is in flight. */
     static create(maximumPositions: number): PrefillWindow {
         return new PrefillWindow(maximumPositions);
     }
 
-    /** Adds a long pass; rebuilt contexts go before new prompts, because their callers have seen a part of the answer. */
-    add(waitingPass: WaitingPass): void {
-        const firstPrompt = waitingPass.pass.rebuild === true
-            ? this.held.findIndex(other => other.pass.rebuild !== true)
+    /** Queues a prefill pass. Rebuilt contexts precede new prompts, because their callers have received part of the answer. */
+    add(pendingPass: WaitingPass): void {
+        const firstPrompt = pendingPass.pass.rebuild === true
+            ? this.queued.findIndex(other => other.pass.rebuild !== true)
             : -1;
-        this.held.splice(firstPrompt < 0 ? this.held.length : firstPrompt, 0, waitingPass);
+        this.queued.splice(firstPrompt < 0 ? this.queued.length : firstPrompt, 0, pendingPass);
     }
 
-    /** Takes the passes that may leave now, in order. */
+    /** Removes and returns the queued passes that may be sent now, in order. */
     takeReady(): WaitingPass[] {
         const ready: WaitingPass[] = [];
-        for (const waitingPass of this.held) {
-            const isFitting = this.positions + waitingPass.positions <= this.maximumPositions;
-            if (!isFitting && this.onItsWay.size > 0) {
+        for (const pendingPass of this.queued) {
+            const fitsInWindow = this.inFlightPositions + pendingPass.positions <= this.maximumPositions;
+            if (!fitsInWindow && this.inFlight.size > 0) {
                 break;
             }
-            ready.push(waitingPass);
-            this.onItsWay.add(waitingPass);
-            this.positions += waitingPass.positions;
+            ready.push(pendingPass);
+            this.inFlight.add(pendingPass);
+            this.inFlightPositions += pendingPass.positions;
         }
-        this.held = this.held.slice(ready.length);
+        this.queued = this.queued.slice(ready.length);
         return ready;
     }
 
-    /** Removes a pass that is settled; does nothing for one that is not here. */
-    remove(waitingPass: WaitingPass): void {
-        if (this.onItsWay.delete(waitingPass)) {
-            this.positions -= waitingPass.positions;
+    /** Removes a settled pass, in flight or queued. Does nothing if the window doesn't contain it. */
+    remove(pendingPass: WaitingPass): void {
+        if (this.inFlight.delete(pendingPass)) {
+            this.inFlightPositions -= pendingPass.positions;
             return;
         }
-        this.held = this.held.filter(other => other !== waitingPass);
+        this.queued = this.queued.filter(other => other !== pendingPass);
     }
 }
--- a/src/connection/endpoint/probeEngine.ts
+++ b/src/connection/endpoint/probeEngine.ts
@@ -2,9 +2,9 @@
 import type { ProbeOutcome } from "./probeOutcome.ts";
 
 /**
- * Asks an engine for its health over a new connection.
- * @param origin - Scheme, host and port.
- * @param timeoutMilliseconds - Time for connection and answer together, in milliseconds.
+ * Sends a health check to an engine over a new connection.
+ * @param origin - Scheme, host and port of the engine.
+ * @param timeoutMilliseconds - Time limit for connecting and the response together.
  */
 export async function probeEngine(origin: string, timeoutMilliseconds: number): Promise<ProbeOutcome> {
     const client = new Client(origin, { connectTimeout: timeoutMilliseconds });
--- a/src/connection/endpoint/probeOutcome.ts
+++ b/src/connection/endpoint/probeOutcome.ts
@@ -1,2 +1,2 @@
-/** What a probe of an engine showed; `refused` where the machine lives and nothing listens there. */
+/** Outcome of a probe of an engine. `refused` means that the machine is up, but nothing listens on the port. */
 export type ProbeOutcome = "answering" | "refused" | "silent";
--- a/src/connection/endpoint/sendPassBatch.ts
+++ b/src/connection/endpoint/sendPassBatch.ts
@@ -11,16 +11,15 @@
     passes: readonly Pass[];
     /** Called for each result as it arrives. */
     onResult(result: PassResult): void;
-    /** Called once when the answer has ended, whether or not all results came. */
+    /** Called once when the response has ended, with or without all results. */
     onClosed(closing: BatchClosing): void;
 }
 
-/** A result line holds the activations of a whole prompt. */
+/** A result line contains the activations of a whole prompt. */
 const maximumLineBytes = 16 * 1024 * 1024;
 
 /**
  * Sends one batch of passes and reads the results line by line.
- * @param options - The batch and where its results go.
  */
 export function sendPassBatch(options: PassBatchOptions): void {
     const controller = new AbortController();
@@ -28,7 +27,7 @@
         maximumLineBytes,
         onLine: line => options.onResult(parsePassResult(line)),
     });
-    const reading = readAnswer(options, splitter, controller.signal);
+    const reading = readResponse(options, splitter, controller.signal);
     reading.then(reason => options.onClosed({ reason, mayHaveArrived: true }), (error: unknown) => {
         controller.abort();
         const reason = error instanceof Error ? error.message : String(error);
@@ -36,7 +35,7 @@
     });
 }
 
-async function readAnswer(options: PassBatchOptions, splitter: LineSplitter, signal: AbortSignal): Promise<string> {
+async function readResponse(options: PassBatchOptions, splitter: LineSplitter, signal: AbortSignal): Promise<string> {
     const response = await options.pool.request({
         method: "POST",
         path: "/v1/passes",
@@ -51,7 +50,7 @@
     for await (const chunk of response.body) {
         splitter.push(chunk as Buffer);
     }
-    return "the answer ended";
+    return "the response ended";
 }
 
 function parsePassResult(line: string): PassResult {
--- a/src/connection/endpoint/waitingPass.ts
+++ b/src/connection/endpoint/waitingPass.ts
@@ -2,16 +2,16 @@
 import type { Pass, PassResult } from "./engineProtocol.ts";
 import type { PassFailure } from "./passFailure.ts";
 
-/** A pass that has been given to an engine's connection and is not settled. */
+/** A pass that is queued for an engine or in flight, and has no result yet. */
 export interface WaitingPass {
     pass: Pass;
-    /** Positions that the pass covers, as far as known. */
+    /** Number of positions that the pass covers, as far as known. */
     positions: number;
     /** Monotonic time of each send, in milliseconds. */
     sentAt: number[];
     /** Whether a byte of the pass may have reached the engine. */
     mayHaveArrived: boolean;
-    /** Whether a probe decides what becomes of the pass. */
+    /** Whether the pass waits for a probe, which decides if it is sent again or fails. */
     isDoubtful: boolean;
     settle(outcome: Result<PassResult, PassFailure>): void;
     cancelTimer(): void;
--- a/tests/connection/endpoint/endpointReports.test.ts
+++ b/tests/connection/endpoint/endpointReports.test.ts
@@ -9,7 +9,7 @@
         return { endpoint, observer: "node-1", sequence: BigInt(sequence), state, queueDepth: 0, layers: [] };
     }
 
-    it("sends changes of state before refreshes, however many of these wait", () => {
+    it("sends changes of state before refreshes, however many of these are queued", () => {
         const reports = EndpointReports.create(() => 9);
         for (let index = 0; index < 100; index += 1) {
             reports.add(createReport(`engine-${index}`, 1));
@@ -21,12 +21,12 @@
             reports.add(createReport(`engine-${index}`, 2));
         }
         reports.add(createReport("engine-99", 3, "leaving"));
-        // A refresh that follows at once does not take the change's place in the order.
+        // A refresh that replaces the change keeps the precedence of the change.
         reports.add(createReport("engine-99", 4, "leaving"));
         assert.deepEqual(reports.collect(oneReportBytes).map(report => report.endpoint), ["engine-99"]);
     });
 
-    it("does not take the first word of a serving engine for a change", () => {
+    it("doesn't treat the first report of a serving engine as a change", () => {
         const reports = EndpointReports.create(() => 9);
         for (let index = 0; index < 100; index += 1) {
             reports.add(createReport(`engine-${index}`, 1));
@@ -35,7 +35,7 @@
         assert.deepEqual(reports.collect(oneReportBytes).map(report => report.endpoint), ["engine-99"]);
     });
 
-    it("takes only what is newer, and passes each report on a bounded number of times", () => {
+    it("accepts only newer reports, and sends each report a limited number of times", () => {
         const reports = EndpointReports.create(() => 9);
         assert.ok(reports.add(createReport("engine-1", 5)));
         assert.ok(!reports.add(createReport("engine-1", 5)));
--- a/tests/connection/endpoint/engineConnection.test.ts
+++ b/tests/connection/endpoint/engineConnection.test.ts
@@ -47,7 +47,7 @@
         return positions;
     }
 
-    it("brings each pass of a batch its own result", async () => {
+    it("returns to each pass of a batch its own result", async () => {
         const requests = ["r1", "r2", "r3"];
         const results = await Promise.all(requests.map(request => connection.runPass({ ...pass, request }, 3)));
         for (const [index, result] of results.entries()) {
@@ -57,7 +57,7 @@
         }
     });
 
-    it("replaces a connection that has gone silent, and the pass runs once", async () => {
+    it("replaces a connection that stopped responding, and the pass runs only once", async () => {
         await connection.runPass({ ...pass, request: "warm" }, 3);
         engine.setFaults({ freezeExistingConnections: true });
         const result = await connection.runPass({ ...pass, request: "silent" }, 3);
@@ -66,21 +66,21 @@
         assert.equal(await countPositions("silent"), 3);
     });
 
-    it("sends a pass again whose answer was cut off, and the pass runs once", async () => {
+    it("sends a pass again if the connection was reset, and the pass runs only once", async () => {
         engine.setFaults({ resetNextBatches: 1 });
         const result = await connection.runPass({ ...pass, request: "cut" }, 3);
         assert.ok(result.ok);
         assert.equal(await countPositions("cut"), 3);
     });
 
-    it("tells a refusal that proves that nothing ran", async () => {
+    it("reports a refusal that guarantees that nothing ran", async () => {
         engine.setFaults({ refuseNext: 1 });
         const result = await connection.runPass({ ...pass, request: "refused" }, 3);
         assert.ok(!result.ok);
         assert.equal(result.val.kind, "refused");
     });
 
-    it("tells that nothing was sent where no connection comes about", async () => {
+    it("reports that nothing was sent if no connection is established", async () => {
         const closed = createConnection("127.0.0.1:1");
         const result = await closed.runPass(pass, 3);
         assert.ok(!result.ok);
@@ -88,8 +88,8 @@
         await closed.close();
     });
 
-    describe("under a clock that the test moves", () => {
-        /** Longer than the first deadline of a pass of one position, shorter than that of a long one. */
+    describe("with a fake clock", () => {
+        /** Longer than the initial deadline of a pass with one position, shorter than that of a long pass. */
         const overdueMilliseconds = 1_000;
         const longPositions = 1_000;
         let clock: FakeClock;
@@ -113,7 +113,7 @@
             await timed.close();
         });
 
-        it("fails every pass that waits once one has found the engine dead, and new ones at once", async () => {
+        it("fails all pending passes after a failed probe, and new passes immediately", async () => {
             engine.setFaults({ freeze: true });
             const short = timed.runPass({ ...pass, request: "short" }, 1);
             const long = timed.runPass({ ...pass, request: "long" }, longPositions);
@@ -127,14 +127,14 @@
             assert.equal(next.val.kind, "notSent");
         });
 
-        it("finds an engine dead that it has not used before, without waiting for a deadline", async () => {
+        it("detects an unreachable engine that was not used before without waiting for a deadline", async () => {
             engine.setFaults({ freeze: true });
             const result = await timed.runPass({ ...pass, request: "unused" }, longPositions);
             assert.ok(!result.ok);
             assert.equal(result.val.kind, "unreachable");
         });
 
-        it("takes passes again once the engine answers, or after a while", async () => {
+        it("accepts passes again when the engine answers, or after a while", async () => {
             engine.setFaults({ freeze: true });
             const first = timed.runPass({ ...pass, request: "first" }, 1);
             await clock.advance(overdueMilliseconds);
@@ -149,7 +149,7 @@
             assert.ok((await timed.runPass({ ...pass, request: "later" }, 1)).ok);
         });
 
-        it("counts the time of a pass from the send that was answered", async () => {
+        it("measures the time of a pass from the send that was answered", async () => {
             engine.setFaults({ slowFactor: 100 });
             const result = timed.runPass({ ...pass, request: "slow" }, 1);
             await clock.advance(overdueMilliseconds);
--- a/tests/connection/endpoint/hopDeadline.test.ts
+++ b/tests/connection/endpoint/hopDeadline.test.ts
@@ -11,7 +11,7 @@
         return deadline;
     }
 
-    it("waits longer for an engine that answers later, and for more positions", () => {
+    it("waits longer for a slower engine, and for more positions", () => {
         const near = learn(10);
         const far = learn(300);
         assert.ok(near.getDeadline(1) < far.getDeadline(1));
@@ -19,16 +19,16 @@
         assert.ok(near.getDeadline(100) > near.getDeadline(1));
     });
 
-    it("learns nothing from a result that covers no position", () => {
+    it("ignores a result without positions", () => {
         const deadline = learn(10);
         const before = deadline.getDeadline(100);
         deadline.observe(0, 50);
         assert.equal(deadline.getDeadline(100), before);
     });
 
-    it("gives a probe time for the two round trips of a far link", () => {
+    it("allows a probe two round trips on a link with high latency", () => {
         assert.ok(learn(10).getProbeTimeout() < learn(300).getProbeTimeout());
         assert.ok(learn(300).getProbeTimeout() > 2 * 300);
-        assert.ok(Number.isInteger(learn(300).getProbeTimeout()), "A timer of an abort signal takes whole numbers.");
+        assert.ok(Number.isInteger(learn(300).getProbeTimeout()), "The timeout of an abort signal must be an integer.");
     });
 });
--- a/tests/connection/endpoint/isConnectFailure.test.ts
+++ b/tests/connection/endpoint/isConnectFailure.test.ts
@@ -7,7 +7,7 @@
         assert.equal(isConnectFailure(error), isExpected);
     }
 
-    it("counts only errors that were raised before the connection stood", () => {
+    it("accepts only errors that occurred before the connection was established", () => {
         doTest({ code: "ECONNREFUSED", syscall: "connect" }, true);
         doTest({ code: "EHOSTUNREACH", syscall: "connect" }, true);
         doTest({ code: "UND_ERR_CONNECT_TIMEOUT" }, true);
--- a/tests/connection/endpoint/prefillWindow.test.ts
+++ b/tests/connection/endpoint/prefillWindow.test.ts
@@ -27,10 +27,10 @@
     }
 
     function takeNames(window: PrefillWindow): string[] {
-        return window.takeReady().map(waitingPass => waitingPass.pass.request);
+        return window.takeReady().map(pendingPass => pendingPass.pass.request);
     }
 
-    it("lets passes leave while their positions fit, and the next ones as those are settled", () => {
+    it("sends passes while their positions fit, and further ones when those are settled", () => {
         const window = PrefillWindow.create(100);
         const [first, second, third] = [createPass("a", 60), createPass("b", 40), createPass("c", 1_000)];
         window.add(first);
@@ -40,10 +40,10 @@
         window.remove(first);
         assert.deepEqual(takeNames(window), []);
         window.remove(second);
-        assert.deepEqual(takeNames(window), ["c"], "A pass that is longer than the window goes alone.");
+        assert.deepEqual(takeNames(window), ["c"], "A pass that is longer than the window is sent alone.");
     });
 
-    it("lets rebuilt contexts go before new prompts, each in the order of arrival", () => {
+    it("sends rebuilt contexts before new prompts, each in the order of arrival", () => {
         const window = PrefillWindow.create(1);
         const first = createPass("a", 9);
         window.add(first);
@@ -55,7 +55,7 @@
         assert.deepEqual(takeNames(window), ["c"]);
     });
 
-    it("forgets a pass that is settled before it left, and frees nothing twice", () => {
+    it("removes a pass that is settled before it is sent, and frees positions only once", () => {
         const window = PrefillWindow.create(1);
         const [first, second, third] = [createPass("a", 9), createPass("b", 9), createPass("c", 9)];
         window.add(first);
