--- a/src/connection/document/documentAnswer.ts
+++ b/src/connection/document/documentAnswer.ts
@@ -1,4 +1,4 @@
-/** The whole answer of a document service. */
+/** The complete response of a document service. */
 export interface DocumentAnswer {
     status: number;
     contentType: string;
--- a/src/connection/document/documentCall.ts
+++ b/src/connection/document/documentCall.ts
@@ -1,10 +1,10 @@
-/** A plain HTTP call to a document service. */
+/** An HTTP call to a document service. */
 export interface DocumentCall {
     method: string;
-    /** Path with the query, as the service gets it. */
+    /** Path and query that the service receives. */
     path: string;
     headers: Record<string, string>;
     body: Buffer;
-    /** Whether the call may be sent again. */
+    /** Whether the call may be retried. */
     isIdempotent: boolean;
 }
--- a/src/connection/document/documentConnection.ts
+++ b/src/connection/document/documentConnection.ts
@@ -9,19 +9,19 @@
 /** Options of a {@link DocumentConnection}. */
 interface DocumentConnectionOptions {
     endpoint: string;
-    /** host:port. */
+    /** Address of the endpoint, as host:port. */
     address: string;
 }
 
-/** Answers above this are not passed on: they could not be kept whole. */
+/** Larger responses are not forwarded, because they could not be stored completely. */
 const maximumAnswerBytes = 16 * 1024 * 1024;
 const connectTimeoutMilliseconds = 500;
-/** Idle connections are retired soon, since one that has gone silent cannot be told from a good one. */
+/** Idle connections are closed after a short time, since a dead one can't be distinguished from a working one. */
 const keepAliveMilliseconds = 4_000;
 const tooManyRequestsStatus = 429;
-/** What is read of a refusal's body, so that its connection can be used again. */
-const refusalRestBytes = 64 * 1024;
-const refusalRestMilliseconds = 1_000;
+/** Limits for reading and discarding the body of a refusal, so that its connection can be reused. */
+const maximumDiscardedBytes = 64 * 1024;
+const maximumDiscardMilliseconds = 1_000;
 
 /** The connections of this node to one endpoint of a document service. */
 export class DocumentConnection {
@@ -32,16 +32,14 @@
         this.options = options;
     }
 
-    /** Creates the connections; nothing is opened before the first call. */
+    /** Creates the connection pool. Connections open with the first call. */
     static create(options: DocumentConnectionOptions): DocumentConnection {
         return new DocumentConnection(options);
     }
 
     /**
-     * Sends one call, once. A call that may not be repeated gets a connection of its own, so that an old one that has
-     * gone silent cannot swallow it.
-     * @param call - The call.
-     * @param signal - Aborts the call.
+     * Sends a call without retries. A call that is not idempotent uses a new connection, so that it can't be lost on a dead
+     * one.
      */
     async send(call: DocumentCall, signal: AbortSignal): Promise<Result<DocumentAnswer, DocumentFailure>> {
         const dispatcher = call.isIdempotent ? this.agent : createAgent();
@@ -58,7 +56,7 @@
         }
     }
 
-    /** Tells whether the endpoint takes a new connection. No byte is sent, since services have no common health call. */
+    /** Gets if the endpoint accepts a new connection. No byte is sent, since the services have no common health check. */
     isAnswering(): Promise<boolean> {
         const { hostname, port } = new URL(`tcp://${this.options.address}`);
         return new Promise(resolve => {
@@ -73,7 +71,7 @@
         });
     }
 
-    /** Drops all open connections, after one has proved silent; new calls open new ones. */
+    /** Makes new calls use new connections. Used after a connection stopped responding. */
     replace(): void {
         const oldAgent = this.agent;
         this.agent = createAgent();
@@ -94,20 +92,20 @@
             origin: `http://${this.options.address}`,
             method: call.method as Dispatcher.HttpMethod,
             path: call.path,
-            // Only the type of an answer's content is passed on, so its bytes must not need an encoding to be read.
+            // The content encoding of the response is not forwarded, so the body must not be encoded.
             headers: { ...call.headers, "accept-encoding": "identity" },
             body: call.body.length === 0 ? undefined : call.body,
             signal,
         });
         if (response.statusCode === tooManyRequestsStatus) {
-            // Not waited for: the status says all, and the rest may not come.
-            const signalOfRest = AbortSignal.timeout(refusalRestMilliseconds);
-            void response.body.dump({ limit: refusalRestBytes, signal: signalOfRest }).catch(() => undefined);
-            return Err(this.createFailure("refused", "it is too busy"));
+            // The body is not awaited: the status is sufficient, and the rest of the body may never arrive.
+            const discardSignal = AbortSignal.timeout(maximumDiscardMilliseconds);
+            void response.body.dump({ limit: maximumDiscardedBytes, signal: discardSignal }).catch(() => undefined);
+            return Err(this.createFailure("refused", "it is overloaded"));
         }
-        const body = await readAnswerBody(response.body);
+        const body = await readResponseBody(response.body);
         if (body === undefined) {
-            return Err(this.createFailure("unknown", `its answer is larger than ${maximumAnswerBytes} bytes`));
+            return Err(this.createFailure("unknown", `its response is larger than ${maximumAnswerBytes} bytes`));
         }
         const contentType = response.headers["content-type"];
         return Ok({
@@ -119,7 +117,7 @@
 
     private createFailure(kind: DocumentFailure["kind"], reason: string): DocumentFailure {
         const { endpoint } = this.options;
-        return { kind, endpoint, message: `Endpoint ${endpoint} brought no answer: ${reason}.` };
+        return { kind, endpoint, message: `Endpoint ${endpoint} returned no response: ${reason}.` };
     }
 }
 
@@ -134,7 +132,7 @@
     });
 }
 
-async function readAnswerBody(stream: AsyncIterable<Buffer>): Promise<Buffer | undefined> {
+async function readResponseBody(stream: AsyncIterable<Buffer>): Promise<Buffer | undefined> {
     const chunks: Buffer[] = [];
     let length = 0;
     for await (const chunk of stream) {
--- a/src/connection/document/documentFailure.ts
+++ b/src/connection/document/documentFailure.ts
@@ -1,8 +1,8 @@
-/** Why a document call brought no answer. */
+/** Why a document call returned no response. */
 export interface DocumentFailure {
     /**
-     * - `notSent`: no connection came about; no byte left this node.
-     * - `refused`: the endpoint said that it did not run the call.
+     * - `notSent`: no connection was established, so no byte was sent.
+     * - `refused`: the endpoint reported that it did not run the call.
      * - `unknown`: the call may have run.
      */
     kind: "notSent" | "refused" | "unknown";
--- a/src/connection/lineSplitter.ts
+++ b/src/connection/lineSplitter.ts
@@ -1,17 +1,17 @@
 /** Options of a {@link LineSplitter}. */
 interface LineSplitterOptions {
-    /** A longer line ends the stream with an error. */
+    /** Maximum length of a line. A longer one causes an error. */
     maximumLineBytes: number;
-    /** Called for each whole line, without its newline. */
+    /** Called with each complete line that is not empty, without its newlineByte. */
     onLine(line: string): void;
 }
 
-const newline = 10;
+const newlineByte = 10;
 
 /** Splits a byte stream into lines of bounded length. */
 export class LineSplitter {
     private readonly options: LineSplitterOptions;
-    /** Pieces of the line that has not ended; joined once at its end, so that a long line costs no more than its bytes. */
+    /** Parts of the incomplete line. They are joined once at its end, so that the cost of a long line stays linear. */
     private pending: Buffer[] = [];
     private pendingBytes = 0;
 
@@ -25,27 +25,26 @@
     }
 
     /**
-     * Takes the next bytes of the stream.
-     * @param chunk - Bytes as they arrived.
-     * @throws RangeError where a line is longer than allowed.
+     * Adds the next bytes of the stream.
+     * @throws RangeError if a line is longer than the maximum.
      */
     push(chunk: Buffer): void {
         let start = 0;
-        let end = chunk.indexOf(newline, start);
+        let end = chunk.indexOf(newlineByte, start);
         while (end !== -1) {
             this.addPending(chunk.subarray(start, end));
             this.emitLine();
             start = end + 1;
-            end = chunk.indexOf(newline, start);
+            end = chunk.indexOf(newlineByte, start);
         }
         this.addPending(chunk.subarray(start));
     }
 
-    private addPending(piece: Buffer): void {
-        this.pendingBytes += piece.length;
+    private addPending(part: Buffer): void {
+        this.pendingBytes += part.length;
         this.assertLength(this.pendingBytes);
-        if (piece.length > 0) {
-            this.pending.push(piece);
+        if (part.length > 0) {
+            this.pending.push(part);
         }
     }
 
@@ -60,7 +59,7 @@
 
     private assertLength(length: number): void {
         if (length > this.options.maximumLineBytes) {
-            throw new RangeError(`The stream has a line of over ${this.options.maximumLineBytes} bytes.`);
+            throw new RangeError(`The stream contains a line longer than ${this.options.maximumLineBytes} bytes.`);
         }
     }
 }
--- a/src/connection/upstream/upstreamConnection.ts
+++ b/src/connection/upstream/upstreamConnection.ts
@@ -12,27 +12,30 @@
     /** host:port of the endpoint. */
     address: string;
     connectTimeoutMilliseconds: number;
-    /** Has the first request wait until all is read that came while the connection opened; the request may be given up by that. */
+    /**
+     * Delays the first request until all input that arrived while the connection opened is read, since that input may abort
+     * the request.
+     */
     barrier: Pick<InputBarrier, "pass">;
-    /** The connection has become free for another exchange. */
+    /** Called when the connection is idle again. */
     onFree(): void;
-    /** The connection is gone. */
+    /** Called when the connection is closed. */
     onGone(): void;
 }
 
-/** Where the endpoint says nothing, an idle connection is kept for this long. */
-const idleMilliseconds = 60_000;
-/** A connection is given up this long before the endpoint would close it, so that no request crosses the close. */
-const idleMarginMilliseconds = 600;
+/** Maximum time for which an idle connection is kept. The endpoint may announce a shorter one. */
+const keepAliveMilliseconds = 60_000;
+/** An idle connection is closed this long before the endpoint would close it, so that no request is sent while it closes. */
+const keepAliveMarginMilliseconds = 600;
 
-/** One HTTP/1.1 connection to an endpoint, with one exchange at a time. */
+/** An HTTP/1.1 connection to an endpoint, with at most one exchange at a time. */
 export class UpstreamConnection {
     private readonly client: Client;
     private readonly options: UpstreamConnectionOptions;
     private hasSocketFailed = false;
-    private isGone = false;
+    private isClosed = false;
     /** Monotonic time in milliseconds at which the last exchange ended. */
-    private freeSince = 0;
+    private idleSince = 0;
 
     private constructor(options: UpstreamConnectionOptions) {
         this.options = options;
@@ -53,40 +56,40 @@
             pipelining: 1,
             headersTimeout: 0,
             bodyTimeout: 0,
-            keepAliveTimeout: idleMilliseconds,
-            keepAliveMaxTimeout: idleMilliseconds,
-            keepAliveTimeoutThreshold: idleMarginMilliseconds,
+            keepAliveTimeout: keepAliveMilliseconds,
+            keepAliveMaxTimeout: keepAliveMilliseconds,
+            keepAliveTimeoutThreshold: keepAliveMarginMilliseconds,
         });
-        this.client.on("disconnect", () => this.leave());
-        this.client.on("connectionError", () => this.leave());
+        this.client.on("disconnect", () => this.disconnect());
+        this.client.on("connectionError", () => this.disconnect());
     }
 
-    /** Creates a connection that opens with its first exchange. */
+    /** Creates a connection. It opens with its first exchange. */
     static create(options: UpstreamConnectionOptions): UpstreamConnection {
         return new UpstreamConnection(options);
     }
 
     /** Gets how long the connection has been idle, in milliseconds. */
     getIdleTime(now: number): number {
-        return now - this.freeSince;
+        return now - this.idleSince;
     }
 
     /**
-     * Sends a request; none may be under way.
+     * Sends a request. No other exchange may be in progress.
      * @param request - The request.
-     * @param listener - Told what becomes of it.
+     * @param listener - Receives the response or the failure.
      */
     send(request: UpstreamRequest, listener: UpstreamListener): UpstreamExchange {
         let controller: Dispatcher.DispatchController | undefined;
         let sentAt: number | undefined;
-        let isOver = false;
-        let isUnframed = false;
+        let isEnded = false;
+        let endsWithConnection = false;
         const fail = (message: string) => {
-            if (isOver) {
+            if (isEnded) {
                 return;
             }
-            isOver = true;
-            this.leave();
+            isEnded = true;
+            this.disconnect();
             listener.onFailure({
                 kind: sentAt === undefined ? UpstreamFailureKind.NotSent : UpstreamFailureKind.Broken,
                 message,
@@ -98,39 +101,39 @@
             headers: request.headers,
             body: request.body.length === 0 ? null : request.body,
         }, {
-            onRequestStart: given => {
-                controller = given;
-                if (isOver) {
-                    given.abort(new Error("The exchange was given up."));
+            onRequestStart: dispatchController => {
+                controller = dispatchController;
+                if (isEnded) {
+                    dispatchController.abort(new Error("The exchange was aborted."));
                     return;
                 }
                 sentAt = performance.now();
             },
             onResponseStart: (_controller, status, headers) => {
-                if (isOver || status < 200) {
+                if (isEnded || status < 200) {
                     return;
                 }
-                isUnframed = isWithoutLength(headers);
+                endsWithConnection = isWithoutLength(headers);
                 listener.onHead(status, headers);
             },
             onResponseData: (_controller, chunk) => {
-                if (!isOver) {
+                if (!isEnded) {
                     listener.onData(chunk);
                 }
             },
             onResponseEnd: () => {
-                // The HTTP client takes a reset for the end of an answer without a length; such an answer isn't whole.
-                if (isUnframed && this.hasSocketFailed) {
-                    fail("The connection was reset before its end, which alone ends this answer.");
+                // The HTTP client handles a reset as the end of a response without a length, but such a response is incomplete.
+                if (endsWithConnection && this.hasSocketFailed) {
+                    fail("The connection was reset before the end of a response without a length.");
                     return;
                 }
-                if (isOver) {
+                if (isEnded) {
                     return;
                 }
-                isOver = true;
-                this.freeSince = performance.now();
-                // Bytes after the answer are looked at first; they make the connection unusable.
-                setImmediate(() => this.free());
+                isEnded = true;
+                this.idleSince = performance.now();
+                // Bytes after the response, which make the connection unusable, are processed first.
+                setImmediate(() => this.release());
                 listener.onEnd();
             },
             onResponseError: (_controller, error) => fail(error.message),
@@ -138,19 +141,19 @@
         return {
             getSentTime: () => sentAt,
             abort: () => {
-                if (isOver) {
+                if (isEnded) {
                     return;
                 }
-                isOver = true;
-                controller?.abort(new Error("The exchange was given up."));
-                this.leave();
+                isEnded = true;
+                controller?.abort(new Error("The exchange was aborted."));
+                this.disconnect();
             },
         };
     }
 
-    /** Closes the connection; an exchange under way is cut. */
+    /** Closes the connection and aborts its exchange. */
     close(): void {
-        this.leave();
+        this.disconnect();
     }
 
     private watchSocket(socket: Socket): void {
@@ -160,18 +163,18 @@
         });
     }
 
-    private free(): void {
-        if (!this.isGone) {
+    private release(): void {
+        if (!this.isClosed) {
             this.options.onFree();
         }
     }
 
-    private leave(): void {
-        if (this.isGone) {
+    private disconnect(): void {
+        if (this.isClosed) {
             return;
         }
-        this.isGone = true;
-        // The result says only that the client is closed, which is what was asked for.
+        this.isClosed = true;
+        // Errors are ignored, because they only state that the client is already closed.
         this.client.destroy().catch(() => undefined);
         this.options.onGone();
     }
--- a/src/connection/upstream/upstreamExchange.ts
+++ b/src/connection/upstream/upstreamExchange.ts
@@ -1,10 +1,10 @@
-/** An exchange that is under way. */
+/** A request to an endpoint that is in progress, with its response. */
 export interface UpstreamExchange {
-    /** Ends the exchange and its connection. No further call reaches the listener. */
+    /** Aborts the exchange and closes its connection. The listener is not called any more. */
     abort(): void;
     /**
-     * Gets the monotonic time in milliseconds from which on bytes of the request may have left; undefined where none has. One that
-     * was aborted before is never sent.
+     * Gets the monotonic time in milliseconds from which bytes of the request may have been sent, or undefined if none were.
+     * An exchange that is aborted before this time is never sent.
      */
     getSentTime(): number | undefined;
 }
--- a/src/connection/upstream/upstreamFailureKind.ts
+++ b/src/connection/upstream/upstreamFailureKind.ts
@@ -1,8 +1,8 @@
-/** How an exchange with an endpoint failed. */
+/** Kinds of failure of an exchange with an endpoint. */
 export const UpstreamFailureKind = {
-    /** No connection came about, so no byte was sent. */
+    /** No connection was established, so no byte was sent. */
     NotSent: "notSent",
-    /** The request, or a part of it, was sent and its answer is missing or incomplete. */
+    /** At least part of the request may have been sent, and the response is missing or incomplete. */
     Broken: "broken",
 } as const;
 export type UpstreamFailureKind = typeof UpstreamFailureKind[keyof typeof UpstreamFailureKind];
--- a/src/connection/upstream/upstreamListener.ts
+++ b/src/connection/upstream/upstreamListener.ts
@@ -1,12 +1,12 @@
 import type { IncomingHttpHeaders } from "node:http";
 import type { UpstreamFailure } from "./upstreamFailure.ts";
 
-/** What becomes of an exchange. Exactly one of `onEnd` and `onFailure` is called, and it is the last call. */
+/** Receives the events of an exchange. The last call is either `onEnd` or `onFailure`. */
 export interface UpstreamListener {
-    /** The head of the answer is here. */
+    /** Called with the status and the headers of the response. */
     onHead(status: number, headers: IncomingHttpHeaders): void;
     onData(chunk: Buffer): void;
-    /** The answer is complete. */
+    /** Called when the response is complete. */
     onEnd(): void;
     onFailure(failure: UpstreamFailure): void;
 }
--- a/src/connection/upstream/upstreamPool.ts
+++ b/src/connection/upstream/upstreamPool.ts
@@ -8,19 +8,19 @@
 interface UpstreamPoolOptions {
     /** host:port of the endpoint. */
     address: string;
-    /** Has what may be out of date wait until all that has come to the node is read. */
+    /** Delays requests that may have been cancelled until all input that has already arrived at the node is read. */
     barrier: Pick<InputBarrier, "pass">;
     /** Called for each new connection. */
     onOpened(): void;
 }
 
 /**
- * Two round trips between data centres and the endpoint's handling of a connection take a few milliseconds; the rest
- * allows for a lost packet that is sent again.
+ * Two round trips between data centres and the accepting of the connection take a few milliseconds. The rest allows for the
+ * retransmission of a lost packet.
  */
 const connectTimeoutMilliseconds = 700;
 
-/** The connections of this node to one address. Idle ones are used again, the last used one first. */
+/** The connections of this node to one address. Idle ones are reused, the most recently used one first. */
 export class UpstreamPool {
     private readonly options: UpstreamPoolOptions;
     private readonly idle: UpstreamConnection[] = [];
@@ -40,22 +40,23 @@
         return this.connections.size;
     }
 
-    /** Whether a connection is open and free. */
+    /** Gets if the pool has an idle connection. */
     hasIdle(): boolean {
         return this.idle.length > 0;
     }
 
-    /** Sends a request of this node's own over an idle connection or a new one. */
+    /** Sends a request of this node over an idle connection or a new one. */
     send(request: UpstreamRequest, listener: UpstreamListener): UpstreamExchange {
-        return this.take(Infinity).send(request, listener);
+        return this.acquire(Infinity).send(request, listener);
     }
 
     /**
-     * Sends a caller's request, unless it is given up until all is read that has come to the node: its caller may have gone.
-     * @param createRequest - Creates the request as it is when it goes.
-     * @param listener - Told what becomes of it.
-     * @param maximumIdleMilliseconds - Connections that were idle for longer are not used. A request that can't be
-     * repeated asks for a short time, because a connection may have gone silent unnoticed.
+     * Sends a caller's request once all input that has already arrived at the node is read, unless it is aborted by then,
+     * for example because the caller has disconnected.
+     * @param createRequest - Creates the request when it is sent.
+     * @param listener - Receives the response or the failure.
+     * @param maximumIdleMilliseconds - Connections that were idle for longer are not used. Requests that can't be retried
+     * use a short time, because an idle connection may be dead without the node noticing.
      */
     sendForCaller(
         createRequest: () => UpstreamRequest,
@@ -63,19 +64,19 @@
         maximumIdleMilliseconds = Infinity,
     ): UpstreamExchange {
         let exchange: UpstreamExchange | undefined;
-        const passage = this.options.barrier.pass(() => {
-            exchange = this.take(maximumIdleMilliseconds).send(createRequest(), listener);
+        const deferred = this.options.barrier.pass(() => {
+            exchange = this.acquire(maximumIdleMilliseconds).send(createRequest(), listener);
         });
         return {
             abort: () => {
-                passage.cancel();
+                deferred.cancel();
                 exchange?.abort();
             },
             getSentTime: () => exchange?.getSentTime(),
         };
     }
 
-    /** Closes the idle connections, after one of them has proved silent. */
+    /** Closes the idle connections. Used after one of them did not respond. */
     closeIdle(): void {
         for (const connection of this.idle.splice(0)) {
             connection.close();
@@ -89,7 +90,7 @@
         }
     }
 
-    private take(maximumIdleMilliseconds: number): UpstreamConnection {
+    private acquire(maximumIdleMilliseconds: number): UpstreamConnection {
         const latest = this.idle.at(-1);
         if (latest !== undefined && latest.getIdleTime(performance.now()) <= maximumIdleMilliseconds) {
             this.idle.pop();
--- a/src/connection/upstream/upstreamPools.ts
+++ b/src/connection/upstream/upstreamPools.ts
@@ -1,7 +1,7 @@
 import type { InputBarrier } from "../../process/loop/inputBarrier.ts";
 import { UpstreamPool } from "./upstreamPool.ts";
 
-/** The connections of this node to all endpoints, by address. */
+/** The connection pools of this node, one per endpoint address. */
 export class UpstreamPools {
     private readonly pools = new Map<string, UpstreamPool>();
     private readonly barrier: Pick<InputBarrier, "pass">;
@@ -13,15 +13,15 @@
     }
 
     /**
-     * Creates pools without connections.
-     * @param barrier - Has requests wait until all that has come to the node is read.
+     * Creates an empty set of pools.
+     * @param barrier - Delays requests until all input that has already arrived at the node is read.
      * @param onOpened - Called for each new connection.
      */
     static create(barrier: Pick<InputBarrier, "pass">, onOpened: () => void): UpstreamPools {
         return new UpstreamPools(barrier, onOpened);
     }
 
-    /** Gets the connections to an address. */
+    /** Gets the pool of an address, creating it if necessary. */
     getPool(address: string): UpstreamPool {
         const known = this.pools.get(address);
         if (known !== undefined) {
@@ -32,7 +32,7 @@
         return pool;
     }
 
-    /** Closes the idle connections to addresses that no endpoint has any more. */
+    /** Closes the idle connections to all addresses but the given ones. */
     retain(addresses: ReadonlySet<string>): void {
         for (const [address, pool] of this.pools) {
             if (addresses.has(address)) {
--- a/src/connection/upstream/upstreamRequest.ts
+++ b/src/connection/upstream/upstreamRequest.ts
@@ -1,9 +1,9 @@
-/** A request as it goes to an endpoint. */
+/** A request to an endpoint. */
 export interface UpstreamRequest {
     method: string;
-    /** Path with its query, byte for byte. */
+    /** Path and query, which are sent unchanged. */
     target: string;
-    /** Names and values by turns. */
+    /** Alternating names and values. */
     headers: string[];
     body: Buffer;
 }
--- a/tests/connection/document/documentConnection.test.ts
+++ b/tests/connection/document/documentConnection.test.ts
@@ -33,7 +33,7 @@
     }
 
     for (const [fault, options] of Object.entries(documentFaultCases)) {
-        it(`tells that a call may have run, and sends it once, where the service ${fault}`, async () => {
+        it(`reports that a call may have run and sends it only once if the service ${fault}`, async () => {
             for (const isIdempotent of [false, true]) {
                 const answer = await send(options, { isIdempotent });
                 assert.equal(answer.ok ? "answered" : answer.val.kind, "unknown");
@@ -43,7 +43,7 @@
         });
     }
 
-    it("takes the word of a busy service that nothing ran, also where its answer does not end", async () => {
+    it("treats a 429 response as a refusal, even if its body does not end", async () => {
         const onRequest: RawEndpoint["options"]["onRequest"] = socket => {
             socket.write("HTTP/1.1 429 Busy\r\ncontent-length: 100\r\n\r\npart");
         };
@@ -53,14 +53,14 @@
         }
     });
 
-    it("tells that nothing was sent where no connection comes about", async () => {
+    it("reports that nothing was sent if no connection is established", async () => {
         const closed = DocumentConnection.create({ endpoint: "closed", address: "127.0.0.1:1" });
         const answer = await closed.send(call, AbortSignal.timeout(timeoutMilliseconds));
         assert.equal(answer.ok ? "answered" : answer.val.kind, "notSent");
         await closed.close();
     });
 
-    it("brings the whole answer, whatever its pieces", async () => {
+    it("returns the complete answer regardless of its chunks", async () => {
         const onRequest: RawEndpoint["options"]["onRequest"] = socket => {
             socket.write("HTTP/1.1 201 Created\r\ncontent-type: text/x\r\ntransfer-encoding: chunked\r\n\r\n");
             for (const piece of ["ab", "c", "def"]) {
@@ -73,7 +73,7 @@
         assert.deepEqual(answer.val, { status: 201, contentType: "text/x", body: Buffer.from("abcdef") });
     });
 
-    it("asks for an answer that is not encoded, since the encoding is not passed on", async () => {
+    it("requests an answer that is not encoded, since the encoding is not forwarded", async () => {
         const onRequest: RawEndpoint["options"]["onRequest"] = socket => {
             socket.end("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
         };
--- a/tests/connection/document/documentFaultCases.ts
+++ b/tests/connection/document/documentFaultCases.ts
@@ -1,22 +1,22 @@
 import type { Socket } from "node:net";
 import type { RawEndpoint } from "./rawEndpoint.ts";
 
-/** Ways in which a document service fails so that its call may have run. */
+/** Faults of a document service after which its call may have run. */
 export const documentFaultCases: Readonly<Record<string, RawEndpoint["options"]>> = {
-    "resets before it has read": { onConnection: socket => socket.resetAndDestroy() },
-    "resets after it has read": { onRequest: socket => socket.resetAndDestroy() },
+    "resets the connection before it reads the request": { onConnection: socket => socket.resetAndDestroy() },
+    "resets the connection after it has read the request": { onRequest: socket => socket.resetAndDestroy() },
     "closes without an answer": { onRequest: socket => socket.end() },
-    "falls silent after it has accepted": {},
-    "cuts its answer off": {
+    "stops responding after it has accepted the connection": {},
+    "closes the connection within its answer": {
         onRequest: socket => socket.end("HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\npart"),
     },
-    "cuts its chunked answer off": {
+    "closes the connection within its chunked answer": {
         onRequest: socket => socket.end("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n"),
     },
-    "falls silent in its answer": {
+    "stops sending within its answer": {
         onRequest: socket => socket.write("HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\npart"),
     },
-    "answers without end": {
+    "sends an endless answer": {
         onRequest: socket => {
             socket.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
             writeWithoutEnd(socket);
@@ -29,10 +29,10 @@
         },
     },
     "answers with bytes that are not HTTP": { onRequest: socket => socket.end("\u0000\u0001garbage\r\n\r\n") },
-    "answers with a status that there is not": {
+    "answers with an invalid status": {
         onRequest: socket => socket.end("HTTP/1.1 000 None\r\ncontent-length: 1\r\n\r\nx"),
     },
-    "wants another protocol": {
+    "switches to another protocol": {
         onRequest: socket => socket.end("HTTP/1.1 101 Switching\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n"),
     },
     "answers with too many headers": {
@@ -40,12 +40,12 @@
     },
 };
 
-/** Writes as long as somebody reads. */
+/** Writes until the connection is closed, pausing while the buffer is full. */
 function writeWithoutEnd(socket: Socket): void {
     const chunk = `10000\r\n${"x".repeat(0x10000)}\r\n`;
     const write = () => {
         while (!socket.destroyed && socket.write(chunk)) {
-            // Goes on until the buffer is full.
+            // Writes until the buffer is full.
         }
     };
     socket.on("drain", write);
--- a/tests/connection/document/rawEndpoint.ts
+++ b/tests/connection/document/rawEndpoint.ts
@@ -1,23 +1,23 @@
 import { once } from "node:events";
 import { type AddressInfo, createServer, type Server, type Socket } from "node:net";
 
-/** What a raw endpoint does with a whole request, or with a connection before any byte of it. */
-type Handle = (socket: Socket, request: string) => void;
+/** Handles a complete request. */
+type RequestHandler = (socket: Socket, request: string) => void;
 
 /** Options of a {@link RawEndpoint}. */
 interface RawEndpointOptions {
-    /** Called when a connection has come. */
+    /** Called when a connection opens. */
     onConnection?: (socket: Socket) => void;
-    /** Called with each whole request. */
-    onRequest?: Handle;
+    /** Called with each complete request. */
+    onRequest?: RequestHandler;
 }
 
-/** An endpoint that answers with bytes of a test's own. */
+/** An endpoint that answers with raw bytes of the test. */
 export class RawEndpoint {
-    /** Heads and bodies of the requests that came whole. */
+    /** Heads and bodies of the complete requests. */
     readonly requests: string[] = [];
     connections = 0;
-    /** What it does from now on. */
+    /** Current behavior. Tests can replace it. */
     options: RawEndpointOptions;
     private readonly server: Server;
     private readonly sockets = new Set<Socket>();
@@ -27,7 +27,7 @@
         this.server = createServer(socket => this.handleConnection(socket));
     }
 
-    /** Starts to listen. */
+    /** Starts listening. */
     static async create(options: RawEndpointOptions = {}): Promise<RawEndpoint> {
         const endpoint = new RawEndpoint(options);
         endpoint.server.listen(0, "127.0.0.1");
@@ -35,7 +35,7 @@
         return endpoint;
     }
 
-    /** Gets the host:port that it listens on. */
+    /** Gets the address that the endpoint listens on, as host:port. */
     getAddress(): string {
         return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
     }
--- a/tests/connection/lineSplitter.test.ts
+++ b/tests/connection/lineSplitter.test.ts
@@ -15,7 +15,7 @@
         return lines;
     }
 
-    it("brings the same lines however the bytes are cut", () => {
+    it("returns the same lines regardless of how the bytes are split into chunks", () => {
         const texts = fc.array(fc.string({ unit: "grapheme", maxLength: 8 }).map(text => text.replaceAll("\n", "")));
         fc.assert(
             fc.property(texts, fc.integer({ min: 1, max: 20 }), (lines, size) => {
@@ -32,12 +32,12 @@
         );
     });
 
-    it("puts characters together that were cut anywhere, and leaves out empty lines", () => {
+    it("joins characters that are split between chunks, and omits empty lines", () => {
         const bytes = Buffer.from('{"ñ":1}\n\n{"é":2}\nrest', "utf8");
         assert.deepEqual(split([...bytes].map(byte => Buffer.of(byte))), ['{"ñ":1}', '{"é":2}']);
     });
 
-    it("refuses a line that is too long, ended or not", () => {
+    it("rejects a line that is too long, whether it is complete or not", () => {
         const half = Buffer.alloc(maximumLineBytes / 2 + 1, "x");
         assert.throws(() => split([half, half]), RangeError);
         assert.throws(() => split([Buffer.concat([half, half, Buffer.from("\n")])]), RangeError);
--- a/tests/connection/upstream/upstreamPool.test.ts
+++ b/tests/connection/upstream/upstreamPool.test.ts
@@ -15,12 +15,12 @@
     let pool: UpstreamPool;
     let arrivals: number;
     let ends: number;
-    let passages: Set<() => void>;
+    let deferredActions: Set<() => void>;
 
     beforeEach(async () => {
         arrivals = 0;
         ends = 0;
-        passages = new Set();
+        deferredActions = new Set();
         server = createServer((message, response) => {
             arrivals += 1;
             message.resume();
@@ -31,8 +31,8 @@
             address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
             barrier: {
                 pass: action => {
-                    passages.add(action);
-                    return { cancel: () => void passages.delete(action) };
+                    deferredActions.add(action);
+                    return { cancel: () => void deferredActions.delete(action) };
                 },
             },
             onOpened: () => undefined,
@@ -51,44 +51,44 @@
         onFailure: () => undefined,
     };
 
-    /** Lets everything pass that waits until all that has come is read. */
-    function pass(): void {
-        const actions = [...passages];
-        passages.clear();
+    /** Runs all actions that wait at the barrier. */
+    function runDeferredActions(): void {
+        const actions = [...deferredActions];
+        deferredActions.clear();
         for (const action of actions) {
             action();
         }
     }
 
-    it("sends nothing of a request that is given up before all that had come is read", async () => {
+    it("doesn't send a request that is aborted before the pending input is read", async () => {
         const exchange = pool.sendForCaller(() => request, listener);
         exchange.abort();
-        pass();
+        runDeferredActions();
         await wait(50);
         assert.deepEqual([arrivals, exchange.getSentTime(), pool.getSize()], [0, undefined, 0]);
     });
 
-    it("sends nothing of a request that is given up while its connection opens, read after the opening", async () => {
+    it("doesn't send a request that is aborted after its connection has opened, but before the pending input is read", async () => {
         const exchange = pool.sendForCaller(() => request, listener);
-        pass();
-        await waitUntil("the connection is open", () => passages.size > 0);
+        runDeferredActions();
+        await waitUntil("the connection is open", () => deferredActions.size > 0);
         exchange.abort();
-        pass();
+        runDeferredActions();
         await wait(50);
         assert.deepEqual([arrivals, exchange.getSentTime()], [0, undefined]);
     });
 
-    it("creates a request as it goes, and sends it", async () => {
+    it("creates a request when it is sent", async () => {
         let created = 0;
         const exchange = pool.sendForCaller(() => {
             created += 1;
             return request;
         }, listener);
         assert.equal(created, 0);
-        pass();
-        await waitUntil("the connection is open", () => passages.size > 0);
-        pass();
-        await waitUntil("it is answered", () => ends === 1);
+        runDeferredActions();
+        await waitUntil("the connection is open", () => deferredActions.size > 0);
+        runDeferredActions();
+        await waitUntil("the request is answered", () => ends === 1);
         assert.deepEqual([created, arrivals], [1, 1]);
         assert.ok(exchange.getSentTime()! > 0);
     });
