--- a/src/connection/peer/framed/createFramedTransport.ts
+++ b/src/connection/peer/framed/createFramedTransport.ts
@@ -7,8 +7,8 @@
 const noHeaders = new Headers();
 
 /**
- * Creates the transport of clients whose calls go over a connection of frames: what HTTP/2 would add to a short message of two nodes costs
- * them several times what the message itself does.
+ * Creates a client transport that uses a framed connection. For short messages between nodes, HTTP/2 would cost several times
+ * as much as the message itself.
  */
 export function createFramedTransport(connection: FramedConnection): Transport {
     return {
@@ -25,6 +25,7 @@
                 message: fromBinary(method.output, answer),
             };
         },
-        stream: () => Promise.reject(new ConnectError("Frames carry no streams of messages.", Code.Unimplemented)),
+        stream: () =>
+            Promise.reject(new ConnectError("Framed connections do not support streaming calls.", Code.Unimplemented)),
     };
 }
--- a/src/connection/peer/framed/encodeFrame.ts
+++ b/src/connection/peer/framed/encodeFrame.ts
@@ -1,7 +1,7 @@
 import type { Frame } from "./frame.ts";
 import { frameLayout } from "./frameLayout.ts";
 
-/** Encodes a frame as one buffer, so that it leaves in one write. */
+/** Encodes a frame into one buffer, so that it is sent with one write. */
 export function encodeFrame({ callId, kind, method, payload }: Frame): Buffer {
     const { lengthBytes, callOffset, kindOffset, methodLengthOffset, methodOffset } = frameLayout;
     const payloadOffset = methodOffset + method.length;
--- a/src/connection/peer/framed/frame.ts
+++ b/src/connection/peer/framed/frame.ts
@@ -2,10 +2,10 @@
 
 /** One message on a connection between nodes. */
 export interface Frame {
-    /** Chosen by the caller, and named again in the answer. */
+    /** Number that the caller assigns. The answer contains it. */
     callId: number;
     kind: FrameKind;
-    /** Name of the method that is called; empty in answers. */
+    /** Name of the called method. Empty in answers. */
     method: string;
     payload: Uint8Array;
 }
--- a/src/connection/peer/framed/frameKind.ts
+++ b/src/connection/peer/framed/frameKind.ts
@@ -1,10 +1,10 @@
-/** What a frame brings. */
+/** Kinds of frames. */
 export const FrameKind = {
     /** The input of a call. */
     Request: 0,
     /** The output of a call. */
     Answer: 1,
-    /** Why a call failed, as text. */
+    /** The error message of a failed call. */
     Failure: 2,
 } as const;
 export type FrameKind = typeof FrameKind[keyof typeof FrameKind];
--- a/src/connection/peer/framed/frameReader.ts
+++ b/src/connection/peer/framed/frameReader.ts
@@ -6,43 +6,47 @@
 const kinds: ReadonlySet<number> = new Set(Object.values(FrameKind));
 const emptyBytes = Buffer.alloc(0);
 
-/** Splits the bytes of a connection into frames. */
+/** Parses the bytes of a connection into frames. */
 export class FrameReader {
     private chunks: Buffer[] = [];
-    private length = 0;
+    private bufferedBytes = 0;
 
     private constructor() {}
 
-    /** Creates a reader of a connection that has brought nothing. */
+    /** Creates a reader without buffered bytes. */
     static create(): FrameReader {
         return new FrameReader();
     }
 
     /**
-     * Takes bytes as they come.
-     * @returns The frames that they complete, or what is wrong with them: no later bytes of the connection mean anything then.
+     * Adds received bytes.
+     * @returns The frames that are complete now, or an error. After an error, the connection can't be parsed any further.
      */
     push(chunk: Buffer): Result<Frame[], string> {
         this.chunks.push(chunk);
-        this.length += chunk.length;
+        this.bufferedBytes += chunk.length;
         const frames: Frame[] = [];
-        for (let size = this.getNextSize(); size !== undefined && this.length >= size; size = this.getNextSize()) {
+        for (
+            let size = this.getNextSize();
+            size !== undefined && this.bufferedBytes >= size;
+            size = this.getNextSize()
+        ) {
             if (size > frameLayout.maximumBytes || size < frameLayout.methodOffset) {
-                return Err(`A frame has ${size} bytes.`);
+                return Err(`A frame has an invalid size of ${size} bytes.`);
             }
             const frame = decodeFrame(this.takeBytes(size));
             if (frame === undefined) {
-                return Err("A frame has a kind that is not known, or ends within its method.");
+                return Err("A frame has an unknown kind, or ends within its method name.");
             }
             frames.push(frame);
         }
         const isTooLong = (this.getNextSize() ?? 0) > frameLayout.maximumBytes;
-        return isTooLong ? Err("A frame is announced as longer than any.") : Ok(frames);
+        return isTooLong ? Err("A frame exceeds the maximum size.") : Ok(frames);
     }
 
-    /** Gets the size of the next frame with its length; undefined where that hasn't come. */
+    /** Gets the size of the next frame including its length field, or undefined if that has not been received completely. */
     private getNextSize(): number | undefined {
-        if (this.length < frameLayout.lengthBytes) {
+        if (this.bufferedBytes < frameLayout.lengthBytes) {
             return undefined;
         }
         if (this.chunks[0]!.length < frameLayout.lengthBytes) {
@@ -55,7 +59,7 @@
         const bytes = this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
         const rest = size === bytes.length ? emptyBytes : bytes.subarray(size);
         this.chunks = rest.length === 0 ? [] : [rest];
-        this.length = rest.length;
+        this.bufferedBytes = rest.length;
         return bytes.subarray(0, size);
     }
 }
--- a/src/connection/peer/framed/framedConnection.ts
+++ b/src/connection/peer/framed/framedConnection.ts
@@ -9,25 +9,25 @@
 
 /** Options of a {@link FramedConnection}. */
 interface FramedConnectionOptions {
-    /** Of the peer. */
+    /** Address of the peer. */
     address: Address;
     clock: Pick<Clock, "setTimer">;
     connectTimeoutMilliseconds: number;
-    /** A connection that is unused for longer is closed, in milliseconds. */
+    /** A connection that was idle for longer is closed. */
     idleTimeoutMilliseconds: number;
 }
 
-/** A call whose answer is still to come. */
-interface OpenCall {
+/** A call without an answer yet. */
+interface PendingCall {
     resolve(payload: Uint8Array): void;
     reject(error: ConnectError): void;
     timer: TimerHandle;
 }
 
-/** Calls to a peer over one connection, which opens with its first call. */
+/** A framed connection to a peer. It opens with its first call. */
 export class FramedConnection {
     private readonly options: FramedConnectionOptions;
-    private readonly calls = new Map<number, OpenCall>();
+    private readonly calls = new Map<number, PendingCall>();
     private socket: Socket | undefined;
     private lastCallId = 0;
     private isRetired = false;
@@ -36,29 +36,29 @@
         this.options = options;
     }
 
-    /** Creates a connection that is not open yet. */
+    /** Creates a connection. It opens with its first call. */
     static create(options: FramedConnectionOptions): FramedConnection {
         return new FramedConnection(options);
     }
 
-    /** Gets the number of calls under way. */
+    /** Gets the number of calls in flight. */
     getCallCount(): number {
         return this.calls.size;
     }
 
     /**
      * Calls a method of the peer.
-     * @param method - Its name.
+     * @param method - Name of the method.
      * @param payload - The encoded input.
-     * @param timeoutMilliseconds - Time for the whole call.
+     * @param timeoutMilliseconds - Time limit for the whole call.
      * @returns The encoded output.
-     * @throws ConnectError where there is none.
+     * @throws ConnectError if the call fails.
      */
     call(method: string, payload: Uint8Array, timeoutMilliseconds: number): Promise<Uint8Array> {
         return new Promise((resolve, reject) => {
             const callId = this.lastCallId += 1;
             const timer = this.options.clock.setTimer(timeoutMilliseconds, () => {
-                this.settle(callId)?.reject(new ConnectError("No answer in time.", Code.DeadlineExceeded));
+                this.remove(callId)?.reject(new ConnectError("The call exceeded its deadline.", Code.DeadlineExceeded));
             });
             this.calls.set(callId, { resolve, reject, timer });
             this.socket ??= this.open();
@@ -66,16 +66,16 @@
         });
     }
 
-    /** Closes the connection once the calls under way have ended; each has a deadline. */
+    /** Closes the connection after the calls in flight have ended. Each of them has a deadline. */
     retire(): void {
         this.isRetired = true;
         this.closeIfDone();
     }
 
-    /** Closes the connection and ends its calls. */
+    /** Closes the connection and aborts its calls. */
     close(): void {
         this.socket?.destroy();
-        this.fail("The connection was closed.");
+        this.failAll("The connection was closed.");
     }
 
     private open(): Socket {
@@ -83,18 +83,18 @@
         const { host, port } = address;
         const socket = connect({ host, port, noDelay: true });
         const reader = FrameReader.create();
-        const connecting = clock.setTimer(connectTimeoutMilliseconds, () => {
+        const connectTimer = clock.setTimer(connectTimeoutMilliseconds, () => {
             socket.destroy(new Error("The connection did not open in time."));
         });
         let reason = "The connection was closed.";
-        socket.once("connect", () => connecting.cancel());
+        socket.once("connect", () => connectTimer.cancel());
         socket.setTimeout(idleTimeoutMilliseconds, () => socket.destroy());
         socket.on("error", error => reason = error.message);
         socket.once("close", () => {
-            connecting.cancel();
+            connectTimer.cancel();
             if (this.socket === socket) {
                 this.socket = undefined;
-                this.fail(reason);
+                this.failAll(reason);
             }
         });
         socket.on("data", (chunk: Buffer) => {
@@ -104,14 +104,14 @@
                 return;
             }
             for (const frame of frames.val) {
-                this.take(frame);
+                this.handleFrame(frame);
             }
         });
         return socket;
     }
 
-    private take({ callId, kind, payload }: Frame): void {
-        const call = this.settle(callId);
+    private handleFrame({ callId, kind, payload }: Frame): void {
+        const call = this.remove(callId);
         if (kind === FrameKind.Answer) {
             call?.resolve(payload);
         }
@@ -120,8 +120,8 @@
         }
     }
 
-    /** Takes a call out that has ended; undefined where it ended before, as one whose answer comes late. */
-    private settle(callId: number): OpenCall | undefined {
+    /** Removes and returns a call that has ended. Returns undefined if it ended before, as with a late answer. */
+    private remove(callId: number): PendingCall | undefined {
         const call = this.calls.get(callId);
         call?.timer.cancel();
         this.calls.delete(callId);
@@ -129,9 +129,9 @@
         return call;
     }
 
-    private fail(reason: string): void {
+    private failAll(reason: string): void {
         for (const callId of [...this.calls.keys()]) {
-            this.settle(callId)?.reject(new ConnectError(reason, Code.Unavailable));
+            this.remove(callId)?.reject(new ConnectError(reason, Code.Unavailable));
         }
     }
 
--- a/src/connection/peer/framed/framedServer.ts
+++ b/src/connection/peer/framed/framedServer.ts
@@ -7,7 +7,7 @@
 import { frameLayout } from "./frameLayout.ts";
 import { FrameReader } from "./frameReader.ts";
 
-/** Answers the calls of a service, by method. */
+/** Handlers of the unary methods of a service. */
 type UnaryHandlers<Service extends DescService> = {
     [Name in keyof Service["method"]]: (
         request: MessageShape<Service["method"][Name]["input"]>,
@@ -16,21 +16,21 @@
 
 /** Options of a {@link FramedServer}. */
 interface FramedServerOptions<Service extends DescService> {
-    /** host:port to listen at. */
+    /** Address to listen on, as host:port. */
     address: string;
     service: Service;
     handlers: UnaryHandlers<Service>;
 }
 
-/** Calls a method with its encoded input, and gets its encoded output. */
+/** Handles a call with an encoded input and returns the encoded output. */
 type EncodedHandler = (payload: Uint8Array) => Uint8Array;
 
-/** Callers close connections that they don't use after a minute; what nobody closed is closed after this time. */
+/** Callers close idle connections after a minute. This closes the remaining ones. */
 const idleTimeoutMilliseconds = 180_000;
-/** A caller that reads no answers is cut off once so many bytes wait for it. */
-const mostWaitingBytes = 2 * frameLayout.maximumBytes;
+/** Size of the unsent answers above which the connection of a caller that doesn't read them is closed. */
+const maximumUnsentBytes = 2 * frameLayout.maximumBytes;
 
-/** The listener for calls of peers over connections of frames. */
+/** The server for calls of peers over framed connections. */
 export class FramedServer {
     private readonly server: Server;
     private readonly handlers: ReadonlyMap<string, EncodedHandler>;
@@ -43,7 +43,7 @@
 
     /**
      * Starts listening.
-     * @throws Where the address cannot be listened at.
+     * @throws If listening on the address fails.
      */
     static async create<Service extends DescService>(options: FramedServerOptions<Service>): Promise<FramedServer> {
         const { address, service, handlers } = options;
@@ -60,12 +60,12 @@
         return created;
     }
 
-    /** Gets the port that the listener has. */
+    /** Gets the port that the server listens on. */
     getPort(): number {
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Stops, with all connections. */
+    /** Stops listening and closes all connections. */
     async close(): Promise<void> {
         await new Promise(resolve => {
             this.server.close(resolve);
@@ -79,12 +79,12 @@
         const reader = FrameReader.create();
         this.sockets.add(socket);
         socket.once("close", () => this.sockets.delete(socket));
-        // What a caller that is gone has left needs no answer.
+        // Errors need no handling: the caller is gone, so its calls need no answer.
         socket.on("error", () => socket.destroy());
         socket.setTimeout(idleTimeoutMilliseconds, () => socket.destroy());
         socket.on("data", (chunk: Buffer) => {
             const frames = reader.push(chunk);
-            if (frames.err || socket.writableLength > mostWaitingBytes) {
+            if (frames.err || socket.writableLength > maximumUnsentBytes) {
                 socket.destroy();
                 return;
             }
@@ -97,7 +97,7 @@
     private answer({ callId, method, payload }: Frame): Frame {
         const handle = this.handlers.get(method);
         if (handle === undefined) {
-            return createFailure(callId, `There is no method ${method}.`);
+            return createFailure(callId, `Unknown method ${method}.`);
         }
         try {
             return { callId, kind: FrameKind.Answer, method: "", payload: handle(payload) };
--- a/src/connection/peer/peerConnection.ts
+++ b/src/connection/peer/peerConnection.ts
@@ -4,31 +4,31 @@
 import { peerSecret } from "./peerSecret.ts";
 import type { PeerTls } from "./peerTls.ts";
 
-/** Largest message that is read, in bytes: a configuration of 1 MB and room for its envelope. */
+/** Maximum size of a received message: a configuration of 1 MB, with a margin for its envelope. */
 const maximumMessageBytes = 4 * 1024 * 1024;
 
-/** Options of a connection. */
+/** Options of a {@link PeerConnection}. */
 interface PeerConnectionOptions<Service extends DescService> {
-    /** What the peer is called for. */
+    /** Service that is called at the peer. */
     service: Service;
     /** host:port of the peer listener. */
     address: string;
-    /** Secret that all nodes share; undefined where the network itself keeps others out. */
+    /** Secret that all nodes share, or undefined if the network itself restricts access. */
     secret?: string;
     tls?: PeerTls;
-    /** Longest time for connecting, in milliseconds. */
+    /** Time limit for connecting. */
     connectTimeoutMilliseconds: number;
-    /** A connection unused for longer is checked by a ping before its next call, in milliseconds. */
+    /** A connection that was idle for longer is checked with a ping before its next call. */
     pingIntervalMilliseconds: number;
-    /** A connection that does not answer a ping within this time is dead, in milliseconds. */
+    /** A connection that does not respond to a ping within this time is closed. */
     pingTimeoutMilliseconds: number;
-    /** A connection unused for longer is closed, in milliseconds. */
+    /** A connection that was idle for longer is closed. */
     idleTimeoutMilliseconds: number;
 }
 
-/** One HTTP/2 connection to a peer, opened at its first call. */
+/** An HTTP/2 connection to a peer. It opens with its first call. */
 export class PeerConnection<Service extends DescService> {
-    /** Client of the peer's service. */
+    /** Client of the service. */
     readonly client: Client<Service>;
     private readonly sessions: Http2SessionManager;
     private callCount = 0;
@@ -54,17 +54,17 @@
         this.client = createClient(options.service, transport);
     }
 
-    /** Creates a connection that is not open yet. */
+    /** Creates a connection. It opens with its first call. */
     static create<Service extends DescService>(options: PeerConnectionOptions<Service>): PeerConnection<Service> {
         return new PeerConnection(options);
     }
 
-    /** Gets the number of calls under way. */
+    /** Gets the number of calls in flight. */
     getCallCount(): number {
         return this.callCount;
     }
 
-    /** Runs a call, counting it while it is under way. */
+    /** Runs a call and counts it while it is in flight. */
     async run<T>(call: (client: Client<Service>) => Promise<T>): Promise<T> {
         this.callCount++;
         try {
@@ -76,13 +76,13 @@
         }
     }
 
-    /** Closes the connection once the calls under way have ended; each has a deadline. */
+    /** Closes the connection after the calls in flight have ended. Each of them has a deadline. */
     retire(): void {
         this.isRetired = true;
         this.closeIfDone();
     }
 
-    /** Closes the connection and ends its calls. */
+    /** Closes the connection and aborts its calls. */
     close(): void {
         this.sessions.abort();
     }
--- a/src/connection/peer/peerConnections.ts
+++ b/src/connection/peer/peerConnections.ts
@@ -28,34 +28,34 @@
 const defaultPingIntervalMilliseconds = 5_000;
 const defaultIdleTimeoutMilliseconds = 180_000;
 
-/** Options of the connections to peers. */
+/** Options of {@link PeerConnections}. */
 interface PeerConnectionsOptions {
     /** Secret that all nodes share. */
     secret: string;
-    /** Deadline of a call in milliseconds, where the call gives none. Default 1000. */
+    /** Default deadline of a call. Default: 1000. */
     timeoutMilliseconds?: number;
-    /** Most calls under way to one peer; further ones are refused at once. Default 64. */
+    /** Maximum number of calls in flight to one peer. Further calls fail immediately. Default: 64. */
     maximumCallsPerPeer?: number;
-    /** A connection unused for longer is checked by a ping before its next call, in milliseconds. Default 5000. */
+    /** A connection that was idle for longer is checked with a ping before its next call. Default: 5000. */
     pingIntervalMilliseconds?: number;
-    /** A connection unused for longer is closed, in milliseconds. Default 180000. */
+    /** A connection that was idle for longer is closed. Default: 180000. */
     idleTimeoutMilliseconds?: number;
-    /** Certificates; without them calls travel in clear text. */
+    /** Certificates. Without them, calls are not encrypted. */
     tls?: PeerTls;
     log: EventLog;
-    /** Called when a call has ended, with its name and `ok` or the kind of its error. */
+    /** Called after each call with its name, and with `ok` or the kind of its error. */
     onCall?(call: string, outcome: string): void;
 }
 
 /** Options of one call. */
 interface PeerCallOptions {
-    /** Deadline of the call in milliseconds. */
+    /** Deadline of the call. */
     timeoutMilliseconds?: number;
 }
 
 /**
- * Calls to peers by address. Connections are kept and shared. One on which a call was not answered in time may have gone
- * silent for good: it takes no further call, and the next call uses a new connection.
+ * Calls peers by address over shared connections. A connection may be dead if a call on it exceeded its deadline, so the next
+ * call uses a new one.
  */
 export class PeerConnections {
     private readonly options: PeerConnectionsOptions;
@@ -66,7 +66,7 @@
         this.options = options;
     }
 
-    /** Creates an empty set of connections. */
+    /** Creates the calls without open connections. */
     static create(options: PeerConnectionsOptions): PeerConnections {
         return new PeerConnections(options);
     }
@@ -80,7 +80,7 @@
         return this.call("gossip", address, options, (client, callOptions) => client.gossip(request, callOptions));
     }
 
-    /** Tells a peer of a configuration version. */
+    /** Announces a configuration version to a peer. */
     announceConfiguration(
         address: string,
         request: AnnounceConfigurationRequest,
@@ -94,7 +94,7 @@
         );
     }
 
-    /** Fetches a peer's configuration. */
+    /** Fetches the configuration of a peer. */
     getConfiguration(
         address: string,
         request: GetConfigurationRequest,
@@ -108,7 +108,7 @@
         );
     }
 
-    /** Claims idempotency keys at the owner of their shard. */
+    /** Claims idempotency keys at the node that owns their shard. */
     claim(
         address: string,
         request: ClaimRequest,
@@ -117,7 +117,7 @@
         return this.call("claim", address, options, (client, callOptions) => client.claim(request, callOptions));
     }
 
-    /** Fetches the answer that a peer kept. */
+    /** Fetches an answer that a peer stores. */
     getKeptAnswer(
         address: string,
         request: GetKeptAnswerRequest,
@@ -131,7 +131,7 @@
         );
     }
 
-    /** Brings kept answers to a peer. */
+    /** Transfers stored answers to a peer. */
     takeKeptAnswers(
         address: string,
         request: TakeKeptAnswersRequest,
@@ -145,7 +145,7 @@
         );
     }
 
-    /** Closes all connections and ends the calls under way. */
+    /** Closes all connections and aborts the calls in flight. */
     close(): void {
         this.isClosed = true;
         for (const connection of this.connections.values()) {
@@ -226,11 +226,11 @@
 function createClosedError(address: string): PeerError {
     return {
         kind: PeerErrorKind.Closed,
-        message: `Peer ${address} was not called: this node is stopping; ask another.`,
+        message: `Peer ${address} was not called because this node is stopping; use another node.`,
     };
 }
 
 function createTooManyCallsError(address: string, limit: number): PeerError {
-    const message = `Peer ${address} was not called: ${limit} calls to it are under way; try again later.`;
+    const message = `Peer ${address} was not called because ${limit} calls to it are in flight; try again later.`;
     return { kind: PeerErrorKind.TooManyCalls, message };
 }
--- a/src/connection/peer/peerError.ts
+++ b/src/connection/peer/peerError.ts
@@ -3,6 +3,6 @@
 /** A failed call to a peer. */
 export interface PeerError {
     kind: PeerErrorKind;
-    /** What failed and what to do about it. */
+    /** Cause of the error and a suggested action. */
     message: string;
 }
--- a/src/connection/peer/peerErrorKind.ts
+++ b/src/connection/peer/peerErrorKind.ts
@@ -1,14 +1,14 @@
-/** Kinds of failure of a call to a peer. */
+/** Kinds of errors of a call to a peer. */
 export const PeerErrorKind = {
-    /** No connection could be made, or it broke. The call may have been handled where it broke. */
+    /** The connection could not be established, or it failed. In the latter case, the call may have been handled. */
     Unreachable: "unreachable",
-    /** No answer in time: the peer is slow, or the connection is silent. The call may have been handled. */
+    /** No response before the deadline: the peer is slow, or the connection is dead. The call may have been handled. */
     TimedOut: "timedOut",
-    /** The peer does not accept this node's secret. The call was not handled. */
+    /** The peer does not accept the secret of this node. The call was not handled. */
     Unauthenticated: "unauthenticated",
-    /** Too many calls to the peer are under way. The call was not sent. */
+    /** Too many calls to the peer are in flight. The call was not sent. */
     TooManyCalls: "tooManyCalls",
-    /** The peer's handler failed. */
+    /** The handler of the peer failed. */
     Failed: "failed",
     /** The connections of this node have been closed. The call was not sent. */
     Closed: "closed",
--- a/src/connection/peer/peerHandlers.ts
+++ b/src/connection/peer/peerHandlers.ts
@@ -14,7 +14,7 @@
     TakeKeptAnswersResponseSchema,
 } from "../../wire/generated/foxlead/peer/v1/peer_pb.ts";
 
-/** What a node does with the calls of its peers. A handler that throws answers the call with an error. */
+/** Handlers for the calls of peers. If a handler throws, the caller receives an error. */
 export interface PeerHandlers {
     gossip(request: GossipRequest): Promise<MessageInitShape<typeof GossipResponseSchema>>;
     announceConfiguration(
--- a/src/connection/peer/peerSecret.ts
+++ b/src/connection/peer/peerSecret.ts
@@ -1,11 +1,11 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 
-/** The secret that all nodes share, as a header of each call. */
+/** The secret that all nodes share. Each call contains it in a header. */
 export const peerSecret = {
     /** Name of the header. */
     headerName: "foxlead-peer-secret",
 
-    /** Compares a received secret with the own one, in a time that does not depend on where they differ. */
+    /** Compares a received secret with the secret of this node in constant time. */
     isEqual(received: string, own: string): boolean {
         return timingSafeEqual(digest(received), digest(own));
     },
--- a/src/connection/peer/peerServer.ts
+++ b/src/connection/peer/peerServer.ts
@@ -11,22 +11,22 @@
 
 const unauthenticatedStatus = 401;
 const maximumMessageBytes = 4 * 1024 * 1024;
-const defaultCloseMilliseconds = 2_000;
+const defaultCloseDeadlineMilliseconds = 2_000;
 
-/** Options of a peer listener. */
+/** Options of a {@link PeerServer}. */
 interface PeerServerOptions {
-    /** host:port to listen at, the host by IP number; port 0 takes a free one. */
+    /** Address to listen on, as host:port with an IP address as the host. Port 0 selects a free port. */
     address: string;
-    /** Secret that all nodes share; undefined where the network itself keeps others out. */
+    /** Secret that all nodes share, or undefined if the network itself restricts access. */
     secret?: string;
-    /** Answers the calls of a node's peers. */
+    /** Handlers for the calls of peers. */
     handlers: PeerHandlers;
-    /** Certificates; without them calls travel in clear text. */
+    /** Certificates. Without them, calls are not encrypted. */
     tls?: PeerTls;
     log: EventLog;
 }
 
-/** The listener for the calls of peers. */
+/** The HTTP/2 server for calls of peers. */
 export class PeerServer {
     private readonly server: http2.Http2Server | http2.Http2SecureServer;
     private readonly host: string;
@@ -44,7 +44,7 @@
 
     /**
      * Starts listening.
-     * @throws Where the address cannot be listened at.
+     * @throws If listening on the address fails.
      */
     static async create(options: PeerServerOptions): Promise<PeerServer> {
         const { hostname, port } = new URL(`tcp://${options.address}`);
@@ -58,16 +58,16 @@
         return server;
     }
 
-    /** Gets the host:port that the listener has. */
+    /** Gets the address that the server listens on, as host:port. */
     getAddress(): string {
         return this.host.includes(":") ? `[${this.host}]:${this.port}` : `${this.host}:${this.port}`;
     }
 
     /**
-     * Takes no new connections or calls and lets the calls under way finish.
-     * @param deadlineMilliseconds - After this time in milliseconds the remaining calls are cut off. Default 2000.
+     * Stops accepting connections and calls, and waits until the calls in flight have ended.
+     * @param deadlineMilliseconds - Time after which the remaining calls are aborted. Default: 2000.
      */
-    async close(deadlineMilliseconds: number = defaultCloseMilliseconds): Promise<void> {
+    async close(deadlineMilliseconds: number = defaultCloseDeadlineMilliseconds): Promise<void> {
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         for (const session of this.sessions) {
             session.close();
@@ -98,7 +98,7 @@
     return http2.createSecureServer(options, listener);
 }
 
-/** Checks the secret before anything of the call is read. */
+/** Creates a listener that checks the secret before it reads a call. */
 function createListener(options: PeerServerOptions): Listener {
     const serve = connectNodeAdapter({
         readMaxBytes: maximumMessageBytes,
@@ -123,6 +123,6 @@
 
 function refuse(response: http2.Http2ServerResponse): void {
     response.writeHead(unauthenticatedStatus, { "content-type": "application/json" });
-    const message = "The peer secret is missing or wrong; give all nodes the same one.";
+    const message = "The peer secret is missing or wrong; configure the same one on all nodes.";
     response.end(JSON.stringify({ code: "unauthenticated", message }));
 }
--- a/src/connection/peer/toPeerError.ts
+++ b/src/connection/peer/toPeerError.ts
@@ -3,7 +3,7 @@
 import { PeerErrorKind } from "./peerErrorKind.ts";
 
 /**
- * Sorts what a call threw.
+ * Converts an error that a call threw to a peer error.
  * @param reason - The thrown value.
  * @param address - host:port of the peer.
  */
@@ -13,12 +13,12 @@
         case Code.DeadlineExceeded:
             return {
                 kind: PeerErrorKind.TimedOut,
-                message: `Peer ${address} did not answer in time; the next call uses a new connection.`,
+                message: `Peer ${address} did not respond in time; the next call uses a new connection.`,
             };
         case Code.Unauthenticated:
             return {
                 kind: PeerErrorKind.Unauthenticated,
-                message: `Peer ${address} refused the secret; give all nodes the same peer secret.`,
+                message: `Peer ${address} rejected the secret; configure the same peer secret on all nodes.`,
             };
         case Code.Unavailable:
         case Code.Aborted:
@@ -26,7 +26,7 @@
             return {
                 kind: PeerErrorKind.Unreachable,
                 message:
-                    `Peer ${address} could not be reached (${error.rawMessage}); check that it runs, and its address.`,
+                    `Peer ${address} could not be reached (${error.rawMessage}); check that it runs and that the address is correct.`,
             };
         default:
             return {
--- a/tests/connection/peer/framed/frameReader.test.ts
+++ b/tests/connection/peer/framed/frameReader.test.ts
@@ -15,7 +15,7 @@
 });
 
 describe("FrameReader", () => {
-    it("brings the frames that were encoded, however their bytes are cut", () => {
+    it("returns the encoded frames regardless of how their bytes are split into chunks", () => {
         fc.assert(
             fc.property(fc.array(anyFrame, { maxLength: 8 }), fc.integer({ min: 1, max: 400 }), (frames, step) => {
                 const bytes = Buffer.concat(frames.map(encodeFrame));
@@ -30,7 +30,7 @@
         );
     });
 
-    it("refuses what is longer than any frame before it has come, and what is none", () => {
+    it("rejects a frame that is too long before it is received, and invalid frames", () => {
         const announce = (length: number, ...rest: number[]) => {
             const bytes = Buffer.alloc(4 + rest.length);
             bytes.writeUInt32BE(length, 0);
@@ -44,7 +44,7 @@
         assert.deepEqual(announce(6, 0, 0, 0).val, []);
     });
 
-    it("never throws on any bytes", () => {
+    it("never throws, whatever the bytes", () => {
         fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), bytes => {
             FrameReader.create().push(Buffer.from(bytes));
         }));
--- a/tests/connection/peer/framed/framedCalls.test.ts
+++ b/tests/connection/peer/framed/framedCalls.test.ts
@@ -19,7 +19,7 @@
     let connection: FramedConnection;
     let client: Client<typeof RouterService>;
 
-    /** Answers with the revision that was asked for, as a text of so many bytes; refuses revision 0. */
+    /** Returns a record whose text has as many bytes as the requested revision. Throws for revision 0. */
     function fetch({ frontier }: FetchRequest) {
         const revision = Number(frontier?.revision ?? 0n);
         if (revision === 0) {
@@ -66,19 +66,19 @@
         }
     }
 
-    it("brings each call its own answer, also of a megabyte and many at once", async () => {
+    it("returns to each call its own answer, even for concurrent calls and an answer of one megabyte", async () => {
         const sizes = [1, 1_000_000, 7, 70_000, 3];
         const answers = await Promise.all(sizes.map(size => ask(size)));
         assert.deepEqual(answers.map(answer => answer.changes!.records[0]!.text.length), sizes);
         assert.equal(connection.getCallCount(), 0);
     });
 
-    it("tells why a call failed at the peer, and goes on", async () => {
+    it("returns the error of a failed call, and handles further calls", async () => {
         await assert.rejects(ask(0), /Revision 0 is never known/);
         assert.equal((await ask(2)).changes!.records.length, 1);
     });
 
-    it("ends calls that are not answered in time, and takes no late answer for another's", async () => {
+    it("aborts calls that are not answered in time", async () => {
         const silent = createServer(socket => socket.resume());
         await new Promise<void>(resolve => silent.listen(0, "127.0.0.1", resolve));
         createConnection((silent.address() as { port: number; }).port);
@@ -87,7 +87,7 @@
         await new Promise(resolve => silent.close(resolve));
     });
 
-    it("ends its calls at once where nobody listens or the peer goes", async () => {
+    it("aborts its calls immediately if nothing listens or the peer closes the connection", async () => {
         createConnection(1);
         assert.equal(await getCode(ask(1)), Code.Unavailable);
         const closing = createServer(socket => setTimeout(() => socket.destroy(), 30));
@@ -97,13 +97,13 @@
         await new Promise(resolve => closing.close(resolve));
     });
 
-    it("closes once the calls under way have ended when it is retired", async () => {
+    it("completes the calls in flight after it is retired", async () => {
         const answer = ask(5);
         connection.retire();
         assert.equal((await answer).changes!.records.length, 1);
     });
 
-    it("cuts off whoever sends anything else, and serves the others", async () => {
+    it("closes connections that send invalid bytes, and serves the others", async () => {
         const stranger = connect(server.getPort(), "127.0.0.1");
         stranger.on("error", () => undefined);
         stranger.write("GET / HTTP/1.1\r\n\r\n");
--- a/tests/connection/peer/peerConnections.test.ts
+++ b/tests/connection/peer/peerConnections.test.ts
@@ -18,7 +18,7 @@
     const numbers: number[] = [];
     const log = { write: (event: { number: number; }) => numbers.push(event.number) };
     let server: PeerServer;
-    let relay: LoopbackProxy;
+    let proxy: LoopbackProxy;
     let connections: PeerConnections;
     let finishClaim: () => void;
 
@@ -43,14 +43,14 @@
                 takeKeptAnswers: async () => ({}),
             },
         });
-        relay = await LoopbackProxy.create(() => server.getAddress());
+        proxy = await LoopbackProxy.create(() => server.getAddress());
         connections = createConnections(secret);
     });
 
     afterEach(async () => {
         finishClaim();
         connections.close();
-        await relay.close();
+        await proxy.close();
         await server.close(0);
     });
 
@@ -64,55 +64,55 @@
     }
 
     it("shares one connection between calls", async () => {
-        assert.equal(await getKind(connections, relay.getAddress()), undefined);
-        assert.equal(await getKind(connections, relay.getAddress()), undefined);
-        assert.equal(relay.getConnectionCount(), 1);
+        assert.equal(await getKind(connections, proxy.getAddress()), undefined);
+        assert.equal(await getKind(connections, proxy.getAddress()), undefined);
+        assert.equal(proxy.getConnectionCount(), 1);
     });
 
-    it("refuses a wrong secret before the handler", async () => {
-        const strangers = createConnections("wrong");
-        assert.equal(await getKind(strangers, server.getAddress()), PeerErrorKind.Unauthenticated);
-        strangers.close();
+    it("rejects a wrong secret before calling the handler", async () => {
+        const callers = createConnections("wrong");
+        assert.equal(await getKind(callers, server.getAddress()), PeerErrorKind.Unauthenticated);
+        callers.close();
         assert.deepEqual(numbers, [1411]);
     });
 
-    it("replaces a connection that has gone silent", async () => {
-        assert.equal(await getKind(connections, relay.getAddress()), undefined);
-        relay.freeze();
-        assert.equal(await getKind(connections, relay.getAddress()), PeerErrorKind.TimedOut);
-        assert.equal(await getKind(connections, relay.getAddress()), undefined);
+    it("replaces a connection that stopped responding", async () => {
+        assert.equal(await getKind(connections, proxy.getAddress()), undefined);
+        proxy.freeze();
+        assert.equal(await getKind(connections, proxy.getAddress()), PeerErrorKind.TimedOut);
+        assert.equal(await getKind(connections, proxy.getAddress()), undefined);
         assert.deepEqual(numbers, [1410]);
     });
 
-    it("does not break the other calls of a connection on which one was late", async () => {
-        const claim = connections.claim(relay.getAddress(), create(ClaimRequestSchema, {}), {
+    it("doesn't abort the other calls of a connection on which one exceeded its deadline", async () => {
+        const claim = connections.claim(proxy.getAddress(), create(ClaimRequestSchema, {}), {
             timeoutMilliseconds: 9_000,
         });
-        const late = await connections.claim(relay.getAddress(), create(ClaimRequestSchema, {}));
+        const late = await connections.claim(proxy.getAddress(), create(ClaimRequestSchema, {}));
         assert.equal(late.err && late.val.kind, PeerErrorKind.TimedOut);
         finishClaim();
         const result = await claim;
         assert.equal(result.ok && result.val.verdicts[0]?.outcome, "granted");
-        await waitUntil("the late connection is closed", () => relay.getConnectionCount() === 0);
+        await waitUntil("the replaced connection is closed", () => proxy.getConnectionCount() === 0);
     });
 
-    it("connects anew after a cut", async () => {
-        assert.equal(await getKind(connections, relay.getAddress()), undefined);
-        relay.cut();
-        await waitUntil("the connection is gone", () => relay.getConnectionCount() === 0);
+    it("reconnects after the connection is closed", async () => {
+        assert.equal(await getKind(connections, proxy.getAddress()), undefined);
+        proxy.cut();
+        await waitUntil("the connection is closed", () => proxy.getConnectionCount() === 0);
         await new Promise(resolve => setImmediate(resolve));
-        assert.equal(await getKind(connections, relay.getAddress()), undefined);
+        assert.equal(await getKind(connections, proxy.getAddress()), undefined);
     });
 
-    it("bounds the calls under way", async () => {
-        const claims = [1, 2, 3].map(() => connections.claim(relay.getAddress(), create(ClaimRequestSchema, {})));
+    it("limits the number of calls in flight", async () => {
+        const claims = [1, 2, 3].map(() => connections.claim(proxy.getAddress(), create(ClaimRequestSchema, {})));
         finishClaim();
         const results = await Promise.all(claims);
         const kinds = results.map(result => result.err ? result.val.kind : "ok");
         assert.deepEqual(kinds, ["ok", "ok", PeerErrorKind.TooManyCalls]);
     });
 
-    it("tells an unreachable peer, a failed handler and closed connections apart", async () => {
+    it("distinguishes an unreachable peer, a failed handler and closed connections", async () => {
         const spare = await PeerServer.create({ address: "127.0.0.1:0", secret, log, handlers: {} as never });
         const address = spare.getAddress();
         await spare.close();
@@ -123,7 +123,7 @@
         assert.equal(await getKind(connections, server.getAddress()), PeerErrorKind.Closed);
     });
 
-    it("lets calls under way finish when the server closes", async () => {
+    it("completes calls in flight when the server closes", async () => {
         const address = server.getAddress();
         const claim = connections.claim(address, create(ClaimRequestSchema, {}));
         assert.equal(await getKind(connections, address), undefined);
--- a/tests/connection/peer/peerTls.test.ts
+++ b/tests/connection/peer/peerTls.test.ts
@@ -7,7 +7,7 @@
 import type { PeerTls } from "../../../src/connection/peer/peerTls.ts";
 import { GetConfigurationRequestSchema } from "../../../src/wire/generated/foxlead/peer/v1/peer_pb.ts";
 
-describe("the connections of peers under TLS", () => {
+describe("the connections of peers with TLS", () => {
     const secret = "a-secret-of-the-tests";
     const log = { write: () => undefined };
     const node = readTls("node", "authority");
@@ -32,7 +32,7 @@
 
     after(() => server.close(0));
 
-    /** Reads certificates of the tests; they protect nothing. */
+    /** Reads the certificates, which are used only by the tests. */
     function readTls(name: string, authority: string): PeerTls {
         const read = (file: string) => {
             return readFileSync(new URL(`../../support/certificates/${file}`, import.meta.url), "utf8");
@@ -48,13 +48,14 @@
         assert.equal(result.ok, isExpected);
     }
 
-    it("works between nodes that the authority has signed for", () => doTest(node, true));
+    it("accepts a node whose certificate the authority signed", () => doTest(node, true));
 
-    it("refuses a node of another authority", () => doTest(readTls("stranger", "authority"), false));
+    it("rejects a caller with a certificate of another authority", () =>
+        doTest(readTls("stranger", "authority"), false));
 
-    it("refuses to talk to a node that the own authority has not signed for", () => {
+    it("rejects a server with a certificate of another authority", () => {
         return doTest(readTls("node", "stranger"), false);
     });
 
-    it("refuses clear text", () => doTest(undefined, false));
+    it("rejects unencrypted connections", () => doTest(undefined, false));
 });
