--- a/src/connection/caller/answerModels.ts
+++ b/src/connection/caller/answerModels.ts
@@ -5,8 +5,8 @@
 
 /**
  * Answers `GET /v1/models` with the model services of the configuration.
- * @param context - The request.
- * @param writer - Takes the final answer.
+ * @param context - Context of the request.
+ * @param writer - Writer of the final answer.
  */
 export function answerModels(context: RequestContext, writer: AnswerWriter): Promise<Result<void, RequestError>> {
     const data: object[] = [];
--- a/src/connection/caller/answerWriter.ts
+++ b/src/connection/caller/answerWriter.ts
@@ -9,13 +9,14 @@
 const bodilessStatuses: ReadonlySet<number> = new Set([204, 304]);
 
 /**
- * Writes the one final answer of a request to its caller, whole or as server-sent events. Text that a slow reader has not
- * taken is collected and leaves as one event, so that memory stays bounded by the answer's text.
+ * Writes the final answer of a request to its caller, as one response or as server-sent events. While the connection applies
+ * backpressure, text is buffered and then sent as one event, so that a slow caller needs no more memory than the text of the
+ * answer.
  */
 export class AnswerWriter {
     private readonly response: ServerResponse;
     private readonly closesConnection: () => boolean;
-    private isFinal = false;
+    private isFinished = false;
     private isBlocked = false;
     private pendingText = "";
     private createTextEvent: (text: string) => string = text => text;
@@ -28,7 +29,7 @@
     /**
      * Creates the writer of one request.
      * @param response - The caller's response.
-     * @param closesConnection - Tells whether an answer that leaves now is the last one of its connection.
+     * @param closesConnection - Gets if the connection should close after the answer.
      */
     static create(response: ServerResponse, closesConnection: () => boolean = () => false): AnswerWriter {
         const writer = new AnswerWriter(response, closesConnection);
@@ -36,25 +37,25 @@
         return writer;
     }
 
-    /** Tells whether the status line has left, so that an error can only be reported inside the stream. */
+    /** Gets if the headers have been sent, so that an error can only be reported inside the stream. */
     isStreaming(): boolean {
         return this.response.headersSent;
     }
 
-    /** Tells whether the final answer has left. */
+    /** Gets if the final answer has been written. */
     hasFinalAnswer(): boolean {
-        return this.isFinal;
+        return this.isFinished;
     }
 
-    /** @throws InvariantError where the request has no final answer. */
+    /** @throws InvariantError if the request has no final answer. */
     assertFinalAnswer(): void {
-        if (!this.isFinal) {
-            throw InvariantError.create("oneFinalAnswer", "A request was about to end without a final answer.");
+        if (!this.isFinished) {
+            throw InvariantError.create("oneFinalAnswer", "A request would have ended without a final answer.");
         }
     }
 
     /**
-     * Waits until the caller has taken the answer or has gone away.
+     * Waits until the response is sent or its connection is closed.
      * @param signal - Ends the wait.
      */
     async waitUntilTaken(signal: AbortSignal): Promise<void> {
@@ -69,39 +70,39 @@
         });
     }
 
-    /** Cuts the connection off, so that a caller never takes a part of an answer for the whole. */
+    /** Destroys the connection, so that the caller can't mistake a partial answer for a complete one. */
     cutOff(): void {
         this.response.destroy();
     }
 
     /**
-     * Sends a whole answer.
+     * Sends the final answer as one response.
      * @param status - HTTP status.
      * @param contentType - Media type of the body.
      * @param body - The body.
-     * @param headers - Further headers.
+     * @param headers - Additional headers.
      */
     sendWhole(status: number, contentType: string, body: string | Buffer, headers: Record<string, string> = {}): void {
         this.assertNoFinalAnswer();
         const { response } = this;
         if (!response.destroyed) {
-            const isUnread = hasUnreadBody(response.req);
+            const isBodyUnread = hasUnreadBody(response.req);
             response.writeHead(status, {
                 ...headers,
-                ...this.createConnectionHeaders(isUnread),
+                ...this.createConnectionHeaders(isBodyUnread),
                 ...this.createLengthHeaders(status, body),
                 "content-type": contentType,
             });
-            this.endWhole(body, isUnread);
+            this.endWithBody(body, isBodyUnread);
         }
-        // Not before the head has been written: one that Node.js does not take leaves room for an error.
-        this.isFinal = true;
+        // Set last: if Node.js rejects the status or the headers, an error can still be sent.
+        this.isFinished = true;
     }
 
     /**
-     * Starts a stream of events.
-     * @param headers - Further headers.
-     * @param createTextEvent - Makes the data of one event out of text.
+     * Starts a stream of server-sent events.
+     * @param headers - Additional headers.
+     * @param createTextEvent - Creates the data of an event from text.
      */
     startStream(headers: Record<string, string>, createTextEvent: (text: string) => string): void {
         this.createTextEvent = createTextEvent;
@@ -113,7 +114,7 @@
         });
     }
 
-    /** Sends text as an event, or keeps it until the reader has caught up. */
+    /** Sends text as an event, or buffers it while the connection applies backpressure. */
     writeText(text: string): void {
         this.pendingText += text;
         if (!this.isBlocked) {
@@ -123,11 +124,11 @@
 
     /**
      * Ends a stream.
-     * @param lastEvents - Data of the events that close it.
+     * @param lastEvents - Data of the last events.
      */
     endStream(lastEvents: readonly string[]): void {
         this.assertNoFinalAnswer();
-        this.isFinal = true;
+        this.isFinished = true;
         this.flush();
         for (const data of lastEvents) {
             this.writeEvent(data);
@@ -135,7 +136,7 @@
         this.response.end();
     }
 
-    /** Sends an error, as a whole answer or, once the stream has begun, as its last event. */
+    /** Sends an error as the final answer, or as the last event if the stream has started. */
     sendError(error: RequestError, headers: Record<string, string> = {}): void {
         const body = JSON.stringify(createErrorBody(error));
         if (this.isStreaming()) {
@@ -161,10 +162,10 @@
         }
     }
 
-    /** A caller that still sends gets its whole answer at once, and the end when the rest of its body is dropped. */
-    private endWhole(body: string | Buffer, isUnread: boolean): void {
+    /** Writes the body. The response ends only after the rest of an unread request body is discarded. */
+    private endWithBody(body: string | Buffer, isBodyUnread: boolean): void {
         const { response } = this;
-        if (!isUnread) {
+        if (!isBodyUnread) {
             response.end(body);
             return;
         }
@@ -172,20 +173,20 @@
         void drainBody(response.req).then(() => response.end());
     }
 
-    private createConnectionHeaders(isUnread: boolean): Record<string, string> {
-        return isUnread || this.closesConnection() ? { connection: "close" } : {};
+    private createConnectionHeaders(isBodyUnread: boolean): Record<string, string> {
+        return isBodyUnread || this.closesConnection() ? { connection: "close" } : {};
     }
 
-    /** The length of a body that is not sent is not known here, and must not be given as 0 (RFC 9110, section 8.6). */
+    /** Omits the length of a body that is not sent: it is unknown here and must not be stated as 0 (RFC 9110, section 8.6). */
     private createLengthHeaders(status: number, body: string | Buffer): Record<string, number> {
         const length = Buffer.byteLength(body);
-        const isWithoutBody = this.response.req.method === "HEAD" || bodilessStatuses.has(status);
-        return isWithoutBody && length === 0 ? {} : { "content-length": length };
+        const isBodyOmitted = this.response.req.method === "HEAD" || bodilessStatuses.has(status);
+        return isBodyOmitted && length === 0 ? {} : { "content-length": length };
     }
 
     private assertNoFinalAnswer(): void {
-        if (this.isFinal) {
-            throw InvariantError.create("oneFinalAnswer", "A request was about to get a second final answer.");
+        if (this.isFinished) {
+            throw InvariantError.create("oneFinalAnswer", "A request would have received a second final answer.");
         }
     }
 }
--- a/src/connection/caller/callerConnections.ts
+++ b/src/connection/caller/callerConnections.ts
@@ -3,40 +3,40 @@
 import { createClientError } from "./createClientError.ts";
 import { createErrorBody } from "./createErrorBody.ts";
 
-/** One request on a connection, until its answer has been taken. */
+/** A request whose response has not been sent completely. */
 interface OpenRequest {
     request: IncomingMessage;
     response: ServerResponse;
     controller: AbortController;
 }
 
-/** What is known of one connection. */
+/** State of one connection. */
 interface CallerConnection {
     requests: Set<OpenRequest>;
-    /** Whether bytes came that are no request, so that the connection ends with the answers that are due on it. */
+    /** Whether a parse error or a timeout occurred, so that the connection closes after its pending responses. */
     isBroken: boolean;
 }
 
-/** How long a caller may take to read the last error of its connection, in milliseconds. */
+/** Time for which a connection stays open after its last error, so that the caller can read it. */
 const lingerMilliseconds = 500;
 
 /**
- * The requests of each open connection, so that all of them end when the caller goes away, also those whose answers wait
- * behind others, and so that bytes that are no request do not take the place of an answer that is due.
+ * Tracks the requests of each open connection. When a caller disconnects, all its requests are aborted, including pipelined
+ * ones whose responses wait for others. When a caller sends invalid bytes, the error doesn't replace a pending response.
  */
 export class CallerConnections {
     private readonly connections = new WeakMap<Socket, CallerConnection>();
 
     private constructor() {}
 
-    /** Creates the record of a server that has no connections. */
+    /** Creates an empty tracker. */
     static create(): CallerConnections {
         return new CallerConnections();
     }
 
     /**
-     * Notes that a request has begun; it ends with its response.
-     * @returns A signal that aborts when the caller leaves before.
+     * Adds a request. It is removed when its response is sent.
+     * @returns A signal that aborts if the caller disconnects before.
      */
     add(request: IncomingMessage, response: ServerResponse): AbortSignal {
         const openRequest = { request, response, controller: new AbortController() };
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Answers bytes that are no request with an error and closes the connection. Where answers are due to requests before
-     * them, the connection ends with the last of these instead.
-     * @param error - What the HTTP parser has found, or that the time is over.
+     * Responds to a parse error or a timeout with an error and closes the connection. If responses to earlier requests are
+     * pending, the connection closes after the last of them instead.
+     * @param error - Error of the HTTP parser, or the timeout.
      */
     handleClientError(error: Error & { code?: string; }, socket: Socket): void {
         const connection = this.getConnection(socket);
@@ -85,7 +85,7 @@
         }
         const connection: CallerConnection = { requests: new Set(), isBroken: false };
         this.connections.set(socket, connection);
-        // A caller that has ended its side gets no answer any more; the connection closes by itself, some time later.
+        // A caller that has closed its side is treated as disconnected. The connection itself closes some time later.
         socket.once("end", () => abort(connection));
         socket.once("close", () => abort(connection));
         return connection;
--- a/src/connection/caller/callerServer.ts
+++ b/src/connection/caller/callerServer.ts
@@ -21,22 +21,25 @@
 import { readBody } from "./readBody.ts";
 import { RunningRequests } from "./runningRequests.ts";
 
-/** Answers one kind of request, or returns the error to answer. */
+/** Answers one kind of request, or returns the error to send. */
 type Handler = (context: RequestContext, body: Buffer, writer: AnswerWriter) => Promise<Result<void, RequestError>>;
 
 const millisecondsPerSecond = 1_000;
 const allMethods = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"] as const;
 
-/** The listener for callers: routes, identifies the customer, reads the body, and answers each request exactly once. */
+/**
+ * The HTTP server for callers. It routes requests, identifies their customers, reads their bodies and sends exactly one final
+ * answer per request.
+ */
 export class CallerServer {
     private readonly options: CallerServerOptions;
     private readonly server: Server;
     private readonly connections = CallerConnections.create();
-    /** A node that was late finds a request and its caller's close together. */
+    /** Delays requests until pending input is read, which may contain the disconnect of the caller if the event loop was blocked. */
     private readonly barrier = InputBarrier.create();
     private readonly running = RunningRequests.create();
-    /** Aborts when what still runs is to be ended by force. */
-    private readonly stop = new AbortController();
+    /** Aborts the remaining requests on a forced stop. */
+    private readonly stopController = new AbortController();
 
     private constructor(options: CallerServerOptions) {
         this.options = options;
@@ -47,12 +50,12 @@
         });
     }
 
-    /** Creates a server that does not listen yet. */
+    /** Creates a server that is not listening yet. */
     static create(options: CallerServerOptions): CallerServer {
         return new CallerServer(options);
     }
 
-    /** Starts to listen. */
+    /** Starts listening. */
     async listen(): Promise<void> {
         await new Promise<void>((resolve, reject) => {
             this.server.once("error", reject);
@@ -60,19 +63,19 @@
         });
     }
 
-    /** Number of requests that have no final answer yet, or whose callers have not taken it. */
+    /** Gets the number of requests whose final answer has not been sent completely. */
     getRequestsInProgress(): number {
         return this.running.getCount();
     }
 
-    /** Waits until every caller has taken its final answer. */
+    /** Waits until the final answers of all requests are sent. */
     async waitUntilIdle(): Promise<void> {
         await this.running.waitUntilIdle();
     }
 
-    /** Ends the requests that still run; each gets the answer that is true of it. */
+    /** Aborts the running requests. Each one is answered with its actual outcome. */
     abortRequests(): void {
-        this.stop.abort();
+        this.stopController.abort();
     }
 
     /** Stops listening and closes idle connections. */
@@ -119,7 +122,8 @@
         const allowed = allMethods.filter(method => router.find(method, path) !== null);
         const writer = this.createWriter(response);
         if (allowed.length === 0) {
-            const message = `There is nothing at ${path}. Use /v1/chat/completions, /v1/models or /v1/services/NAME/.`;
+            const message =
+                `The path ${path} does not exist. Use /v1/chat/completions, /v1/models or /v1/services/NAME/.`;
             writer.sendError(RequestError.invalid(404, "not_found", message));
             return;
         }
@@ -132,7 +136,7 @@
         return AnswerWriter.create(response, () => this.options.getRefusal() !== undefined);
     }
 
-    /** Takes one request to its one final answer, whatever happens on the way. */
+    /** Handles one request and ensures that it gets exactly one final answer. */
     private async serve(
         request: IncomingMessage,
         response: ServerResponse,
@@ -143,7 +147,7 @@
         const arrivedAt = clock.getMonotonicTime();
         const writer = this.createWriter(response);
         this.running.add();
-        const signal = AbortSignal.any([this.connections.add(request, response), this.stop.signal]);
+        const signal = AbortSignal.any([this.connections.add(request, response), this.stopController.signal]);
         const result = await this.answer(request, response, arrivedAt, signal, writer, handler);
         const outcome = this.finish(result, writer);
         this.observe(label, outcome, arrivedAt);
@@ -151,7 +155,7 @@
         this.running.remove();
     }
 
-    /** Sends the error of a request that failed, unless its final answer has left already. */
+    /** Sends the error of a failed request, unless its final answer has already been written. */
     private finish(result: Result<void, RequestError>, writer: AnswerWriter): Outcome {
         const error = result.ok ? undefined : result.val;
         try {
@@ -178,7 +182,7 @@
         );
     }
 
-    /** Metric labels are only names of the configuration, so that callers cannot make new ones. */
+    /** Limits the metric labels to names of the configuration, so that callers can't create new ones. */
     private getKnownLabel(label: string): string {
         const services = this.options.getVersion()?.version.configuration.services ?? {};
         return label === "chat" || label === "models" || Object.hasOwn(services, label) ? label : "unknown";
@@ -193,7 +197,7 @@
         handler: Handler,
     ): Promise<Result<void, RequestError>> {
         const { environment } = this.options;
-        const signals = { signal, stopSignal: this.stop.signal };
+        const signals = { signal, stopSignal: this.stopController.signal };
         const context = createRequestContext(this.options, request, arrivedAt, signals);
         if (!context.ok) {
             return context;
--- a/src/connection/caller/callerServerOptions.ts
+++ b/src/connection/caller/callerServerOptions.ts
@@ -5,13 +5,13 @@
 
 /** Options of a `CallerServer`. */
 export interface CallerServerOptions {
-    /** host:port. */
+    /** Address to listen on, as host:port. */
     listener: string;
     tls?: TlsSettings;
     limits: { maximumConnections: number; headerTimeoutMilliseconds: number; bodyTimeoutMilliseconds: number; };
     environment: RequestEnvironment;
-    /** The configuration in force, or undefined while the node has none. */
+    /** Gets the current configuration, or undefined while the node has none. */
     getVersion(): { version: ConfigurationVersion; customers: CustomerIndex; } | undefined;
-    /** Why the node takes no new requests; undefined while it does. */
+    /** Gets the reason why the node refuses new requests, or undefined while it accepts them. */
     getRefusal(): { code: string; message: string; retryAfterMilliseconds: number; } | undefined;
 }
--- a/src/connection/caller/createErrorBody.ts
+++ b/src/connection/caller/createErrorBody.ts
@@ -1,12 +1,12 @@
 import type { RequestError } from "../../request/requestError.ts";
 
-/** The error shape that OpenAI's clients read, with the outcome beside it. */
+/** Error format of the OpenAI API, with the outcome added. */
 interface ErrorBody {
     error: {
         message: string;
         type: string;
         code: string;
-        /** Whether the request ran. */
+        /** Outcome of the request, which states if it ran. */
         outcome: RequestError["outcome"];
     };
 }
@@ -14,8 +14,7 @@
 const firstServerErrorStatus = 500;
 
 /**
- * Turns an error into the body that callers get.
- * @param error - The final answer.
+ * Creates the response body of an error.
  */
 export function createErrorBody(error: RequestError): ErrorBody {
     const type = error.status < firstServerErrorStatus ? "invalid_request_error" : "server_error";
--- a/src/connection/caller/createForwardedHeaders.ts
+++ b/src/connection/caller/createForwardedHeaders.ts
@@ -1,6 +1,6 @@
 import type { IncomingHttpHeaders } from "node:http";
 
-/** Headers that belong to one connection (RFC 9110, section 7.6.1) or to foxlead, and do not reach the service. */
+/** Headers that are not forwarded, because they apply to one connection (RFC 9110, section 7.6.1) or to foxlead. */
 const droppedHeaders: ReadonlySet<string> = new Set([
     "authorization",
     "connection",
@@ -20,7 +20,7 @@
 ]);
 
 /**
- * Gets the headers of a caller's request that go on to a document service.
+ * Gets the headers of a caller's request that are forwarded to a document service.
  * @param headers - Headers of the caller's request.
  */
 export function createForwardedHeaders(headers: IncomingHttpHeaders): Record<string, string> {
--- a/src/connection/caller/createHttpServer.ts
+++ b/src/connection/caller/createHttpServer.ts
@@ -3,19 +3,20 @@
 import type { CallerServerOptions } from "./callerServerOptions.ts";
 
 const maximumHeaderBytes = 32 * 1024;
-/** Node.js looks for requests that are late at this interval, so that none is late for much longer. */
-const maximumCheckMilliseconds = 1_000;
-const checksOfTimeout = 4;
+/** Maximum interval at which Node.js checks for timed out requests, which limits how late a timeout is detected. */
+const maximumCheckIntervalMilliseconds = 1_000;
+const checksPerTimeout = 4;
 /**
- * Idle connections outlive those of common balancers (60 s), so that the balancer closes them first: a request that meets a
- * connection that closes here is reset.
+ * Longer than the idle timeout of common load balancers (60 s), so that the balancer closes idle connections first. A
+ * request that arrives while this server closes its connection would be reset.
  */
 const keepAliveMilliseconds = 75_000;
 
 /**
- * Creates the HTTP server of the callers, with all its limits.
- * @param options - Listener, certificates and limits.
- * @param onRequest - Takes each request, also those that wait for leave to send their bodies.
+ * Creates the HTTP server for callers, with its limits.
+ * @param options - Certificates and limits.
+ * @param onRequest - Called for each request, including those that wait for permission to send the body
+ * (`Expect: 100-continue`).
  */
 export function createHttpServer(
     options: Pick<CallerServerOptions, "limits" | "tls">,
@@ -29,13 +30,16 @@
         headersTimeout,
         requestTimeout: bodyTimeoutMilliseconds,
         keepAliveTimeout: keepAliveMilliseconds,
-        connectionsCheckingInterval: Math.min(maximumCheckMilliseconds, Math.ceil(headersTimeout / checksOfTimeout)),
+        connectionsCheckingInterval: Math.min(
+            maximumCheckIntervalMilliseconds,
+            Math.ceil(headersTimeout / checksPerTimeout),
+        ),
     };
     const server = tls === undefined
         ? createServer(serverOptions, onRequest)
         : createTlsServer({ ...serverOptions, cert: tls.certificate, key: tls.key }, onRequest);
     server.maxConnections = maximumConnections;
-    // The bytes are bounded already; with a bound on their number, Node.js would silently drop the headers above it.
+    // The size of the headers is already limited. With a limit of their number, Node.js would silently drop further headers.
     server.maxHeadersCount = 0;
     server.on("checkContinue", onRequest);
     return server;
--- a/src/connection/caller/createRequestContext.ts
+++ b/src/connection/caller/createRequestContext.ts
@@ -10,11 +10,12 @@
 const notReadyRetryMilliseconds = 1_000;
 
 /**
- * Takes a request in: refuses it where the node takes none, and finds its customer and what its headers say.
+ * Creates the context of a request: identifies its customer and reads its headers. Refuses the request if the node does not
+ * accept requests.
  * @param options - Options of the server.
  * @param request - The caller's request.
  * @param arrivedAt - Monotonic time of its arrival, in milliseconds.
- * @param signals - What ends the request early.
+ * @param signals - Signals that abort the request.
  */
 export function createRequestContext(
     options: CallerServerOptions,
@@ -63,7 +64,7 @@
     return scheme?.toLowerCase() === "bearer" ? key ?? "" : "";
 }
 
-/** Any mark but `true` counts, so that a misspelt one does not let a request run twice. */
+/** Any value except `true` marks the request, so that a misspelled value doesn't allow it to run twice. */
 function isMarkedNonIdempotent(request: IncomingMessage): boolean {
     return (getHeader(request, "x-foxlead-idempotent") ?? "true").toLowerCase() !== "true";
 }
--- a/src/connection/caller/describeCrash.ts
+++ b/src/connection/caller/describeCrash.ts
@@ -4,10 +4,10 @@
 import { RequestError } from "../../request/requestError.ts";
 
 /**
- * Notes that the handler of a request has thrown, and creates the answer to the caller.
- * @param environment - Parts of the process.
- * @param request - Id of the request; empty where it is not known.
- * @param error - What was thrown.
+ * Logs and counts an error that the handler of a request threw, and creates the error for the caller.
+ * @param environment - Log and metrics of the process.
+ * @param request - ID of the request, or an empty string if it is unknown.
+ * @param error - The thrown value.
  */
 export function describeCrash(
     environment: Pick<RequestEnvironment, "log" | "metrics">,
@@ -22,5 +22,5 @@
         return RequestError.failed(`The check ${error.invariant} failed: ${message}`);
     }
     log.write(events.requestCrashed, { request, message });
-    return RequestError.failed("The request ended by an unexpected error. Ask the operators for event FL1703.");
+    return RequestError.failed("The request failed with an unexpected error. Ask the operators about event FL1703.");
 }
--- a/src/connection/caller/drainBody.ts
+++ b/src/connection/caller/drainBody.ts
@@ -1,11 +1,11 @@
 import type { IncomingMessage } from "node:http";
 
-const maximumDrainedBytes = 4 * 1024 * 1024;
+const maximumDrainBytes = 4 * 1024 * 1024;
 const maximumDrainMilliseconds = 1_000;
 
 /**
- * Reads and drops the rest of a refused request's body, for a bounded time and number of bytes. A connection that is
- * closed with unread bytes is reset, and the caller may lose the answer that tells it why.
+ * Reads and discards the rest of the body of a refused request, up to a time limit and a size limit. Closing a connection
+ * with unread bytes resets it, and the caller could lose the response.
  * @param request - The caller's request.
  */
 export function drainBody(request: IncomingMessage): Promise<void> {
@@ -13,13 +13,13 @@
         let length = 0;
         const finish = () => {
             clearTimeout(timer);
-            request.off("data", count);
+            request.off("data", onData);
             request.pause();
             resolve();
         };
-        const count = (chunk: Buffer) => {
+        const onData = (chunk: Buffer) => {
             length += chunk.length;
-            if (length > maximumDrainedBytes) {
+            if (length > maximumDrainBytes) {
                 finish();
             }
         };
@@ -27,7 +27,7 @@
         request.once("end", finish);
         request.once("close", finish);
         request.on("error", () => undefined);
-        request.on("data", count);
+        request.on("data", onData);
         request.resume();
     });
 }
--- a/src/connection/caller/getServicePath.ts
+++ b/src/connection/caller/getServicePath.ts
@@ -1,9 +1,9 @@
-/** An origin, where the caller sent one, and the prefix with the service's name, which may be percent-encoded. */
+/** An optional origin and the prefix with the name of the service, which may be percent-encoded. */
 const prefixPattern = /^(?:[a-z][a-z0-9+.-]*:\/\/[^/?#]*)?\/v1\/services\/[^/?#]*/i;
 
 /**
- * Gets the path that a document service is called with: all that follows the service's name, with the query.
- * @param url - Target of the caller's request, as it was sent.
+ * Gets the path of a call to a document service: everything after the service name, including the query.
+ * @param url - Target of the caller's request, unmodified.
  */
 export function getServicePath(url: string): string {
     return url.replace(prefixPattern, "");
--- a/src/connection/caller/readBody.ts
+++ b/src/connection/caller/readBody.ts
@@ -5,11 +5,11 @@
 const continuePattern = /^100-continue$/i;
 
 /**
- * Reads a request's body into memory, up to a bound. A body above it is not read on; a caller that waits for leave to
- * send (`Expect: 100-continue`) gets it only where the announced length is within the bound.
+ * Reads the body of a request into memory. Reading stops when the body exceeds the maximum size. A caller that waits for
+ * permission to send the body (`Expect: 100-continue`) only gets it if the announced length is allowed.
  * @param request - The caller's request.
- * @param response - Its response.
- * @param maximumBytes - Bodies above this are refused.
+ * @param response - Response to the request.
+ * @param maximumBytes - Maximum size of the body. Larger bodies are refused.
  */
 export async function readBody(
     request: IncomingMessage,
@@ -26,7 +26,7 @@
     const chunks: Buffer[] = [];
     let length = 0;
     try {
-        // The stream outlives the loop: to destroy it would cut the connection off before the refusal is sent.
+        // The stream is not destroyed, because that would close the connection before the refusal is sent.
         for await (const chunk of request.iterator({ destroyOnReturn: false })) {
             length += (chunk as Buffer).length;
             if (length > maximumBytes) {
@@ -42,6 +42,6 @@
 }
 
 function createTooLargeError(maximumBytes: number): RequestError {
-    const message = `The body is larger than ${maximumBytes} bytes. Send a shorter one.`;
+    const message = `The body is larger than ${maximumBytes} bytes. Send a smaller one.`;
     return RequestError.invalid(413, "body_too_large", message);
 }
--- a/src/connection/caller/runningRequests.ts
+++ b/src/connection/caller/runningRequests.ts
@@ -1,26 +1,26 @@
-/** Counts the requests of a server whose callers have not taken their final answers yet. */
+/** Counts the requests of a server whose final answers have not been sent completely. */
 export class RunningRequests {
     private count = 0;
     private onIdle: (() => void) | undefined;
 
     private constructor() {}
 
-    /** Creates a count of 0. */
+    /** Creates a counter that starts at 0. */
     static create(): RunningRequests {
         return new RunningRequests();
     }
 
-    /** Gets the number of such requests. */
+    /** Gets the number of running requests. */
     getCount(): number {
         return this.count;
     }
 
-    /** Counts a request that has arrived. */
+    /** Adds a request that has arrived. */
     add(): void {
         this.count += 1;
     }
 
-    /** Counts a request whose caller has its final answer or has gone. */
+    /** Removes a request whose final answer is sent or whose caller has disconnected. */
     remove(): void {
         this.count -= 1;
         if (this.count === 0) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Waits until there is no such request; at most one call waits at a time. */
+    /** Waits until no request is running. Only one call may wait at a time. */
     async waitUntilIdle(): Promise<void> {
         if (this.count > 0) {
             await new Promise<void>(resolve => {
--- a/tests/connection/caller/answerWriter.test.ts
+++ b/tests/connection/caller/answerWriter.test.ts
@@ -17,7 +17,7 @@
         server?.close();
     });
 
-    /** Starts a server that answers by a writer. */
+    /** Starts a server that answers with a writer. */
     async function serve(handle: (writer: AnswerWriter, response: ServerResponse) => void): Promise<string> {
         server = createServer((_request, response) => handle(AnswerWriter.create(response), response));
         server.listen(0, "127.0.0.1");
@@ -30,7 +30,7 @@
         return { status: response.statusCode, headers: response.headers, text: await response.body.text() };
     }
 
-    it("refuses a second final answer, and the first one stands", async () => {
+    it("rejects a second final answer and keeps the first one", async () => {
         const errors: unknown[] = [];
         const address = await serve(writer => {
             writer.sendWhole(200, "text/plain", "first");
@@ -53,7 +53,7 @@
         assert.ok(errors.every(error => error instanceof InvariantError && error.invariant === "oneFinalAnswer"));
     });
 
-    it("leaves room for an error where the answer's head cannot be sent", async () => {
+    it("can send an error if the headers of the answer are invalid", async () => {
         const address = await serve(writer => {
             assert.throws(() => writer.sendWhole(0, "text/plain", "x"));
             assert.throws(() => writer.sendWhole(200, "text/plain\r\nx: y", "x"));
@@ -64,7 +64,7 @@
         assert.match(answer.text, /The answer was broken/);
     });
 
-    it("ends a stream that has begun with the error as its last event", async () => {
+    it("sends an error as the last event of a started stream", async () => {
         const address = await serve(writer => {
             writer.startStream({}, text => JSON.stringify({ text }));
             writer.writeText("part");
@@ -78,7 +78,7 @@
         assert.doesNotMatch(answer.text, /\[DONE\]/);
     });
 
-    it("takes no harm from a caller that has gone", async () => {
+    it("handles a caller that has disconnected", async () => {
         let settle: (writer: AnswerWriter) => void = () => undefined;
         const gone = new Promise<AnswerWriter>(resolve => {
             settle = resolve;
@@ -99,7 +99,7 @@
         assert.ok(writer.hasFinalAnswer());
     });
 
-    it("collects the text that a slow caller has not taken into one event", async () => {
+    it("combines buffered text for a slow caller into one event", async () => {
         const texts: string[] = [];
         let unsentBytes = 0;
         const address = await serve((writer, response) => {
@@ -115,11 +115,14 @@
         });
         const answer = await get(address);
         assert.equal(texts.join("").length, 1_000_000);
-        assert.ok(unsentBytes < 200_000, `${unsentBytes} bytes were handed over while nobody read.`);
+        assert.ok(
+            unsentBytes < 200_000,
+            `${unsentBytes} bytes were buffered in the response while the caller did not read.`,
+        );
         assert.equal(answer.text.replaceAll(/data: |\n/g, "").length, 1_000_000 + "[DONE]".length);
     });
 
-    it("tells no length of a body that a HEAD request does not bring", async () => {
+    it("omits the length of the body in the response to a HEAD request", async () => {
         const address = await serve(writer => writer.sendWhole(200, "text/plain", ""));
         assert.equal((await get(address, "HEAD")).headers["content-length"], undefined);
         assert.equal((await get(address)).headers["content-length"], "0");
--- a/tests/connection/caller/badRequests.test.ts
+++ b/tests/connection/caller/badRequests.test.ts
@@ -6,7 +6,7 @@
 const authorization = `Bearer ${NodeFixture.apiKey}`;
 const invalid = { outcome: "invalid" } as const;
 
-describe("requests that are wrong", () => {
+describe("invalid requests", () => {
     let fixture: NodeFixture;
     let runsBefore = 0;
 
@@ -17,20 +17,20 @@
     after(() => fixture.close());
 
     afterEach(() => {
-        assert.equal(fixture.countRuns(), runsBefore, "A wrong request reached an endpoint.");
+        assert.equal(fixture.countRuns(), runsBefore, "An invalid request reached an endpoint.");
     });
 
-    it("asks for a known API key", async () => {
+    it("rejects requests without a valid API key", async () => {
         const expected = { ...invalid, status: 401, code: "invalid_api_key", message: /Authorization: Bearer KEY/ };
-        const wrongs = ["", "Bearer", "Bearer wrong", `Basic ${NodeFixture.apiKey}`, NodeFixture.apiKey];
-        for (const wrong of wrongs) {
-            NodeFixture.assertError(await fixture.chat({}, { authorization: wrong }), expected);
+        const invalidHeaders = ["", "Bearer", "Bearer wrong", `Basic ${NodeFixture.apiKey}`, NodeFixture.apiKey];
+        for (const invalidHeader of invalidHeaders) {
+            NodeFixture.assertError(await fixture.chat({}, { authorization: invalidHeader }), expected);
         }
         NodeFixture.assertError(await fixture.call("GET", "/v1/models", {}), expected);
         NodeFixture.assertError(await fixture.call("POST", "/v1/services/receipts/a", {}, "x"), expected);
     });
 
-    it("names the known models and services where one is not known", async () => {
+    it("lists the available models and services if one is unknown", async () => {
         const message = /Use one of: assistant, letters\./;
         const expected = { ...invalid, status: 404, code: "model_not_found", message };
         for (const model of ["nothing", "constructor", "__proto__", "receipts", ""]) {
@@ -46,7 +46,7 @@
         }
     });
 
-    it("names the allowed methods", async () => {
+    it("lists the allowed methods", async () => {
         for (const [method, path, allow] of [["GET", chatPath, "POST"], ["DELETE", "/v1/models", "GET"]] as const) {
             const answer = await fixture.call(method, path, { authorization });
             const message = new RegExp(`takes ${allow}, not ${method}`);
@@ -61,7 +61,7 @@
         assert.equal(answer.text, "");
     });
 
-    it("names the paths where one is not known", async () => {
+    it("lists the available paths if one is unknown", async () => {
         for (const path of ["/", "/v1", "/v1/services/receipts", "/v1/services/%zz/a", "/%", "//", "/v1/Models"]) {
             const answer = await fixture.call("GET", path, { authorization });
             const message = /Use \/v1\/chat\/completions/;
@@ -69,14 +69,14 @@
         }
     });
 
-    it("asks for a JSON object", async () => {
+    it("rejects a body that is not a JSON object", async () => {
         for (const body of ["", "{", "nonsense", "\u0000", "[".repeat(90_000)]) {
             const answer = await fixture.post(chatPath, body);
             NodeFixture.assertError(answer, { ...invalid, status: 400, code: "invalid_json", message: /JSON object/ });
         }
     });
 
-    it("names the field that is wrong", async () => {
+    it("names the invalid field", async () => {
         const changes: [object, RegExp][] = [
             [{ model: 1 }, /model/],
             [{ messages: [] }, /messages/],
@@ -97,16 +97,16 @@
         }
     });
 
-    it("asks for an idempotency key where a request may run only once", async () => {
+    it("requires an idempotency key for a request that may run only once", async () => {
         const expected = { ...invalid, status: 400, code: "idempotency_key_missing", message: /UUID version 7/ };
         NodeFixture.assertError(await fixture.chat({ model: "letters" }), expected);
         NodeFixture.assertError(await fixture.post("/v1/services/receipts/a", "x"), expected);
-        for (const mark of ["false", "False", "0", "no"]) {
-            NodeFixture.assertError(await fixture.chat({}, { "x-foxlead-idempotent": mark }), expected);
+        for (const value of ["false", "False", "0", "no"]) {
+            NodeFixture.assertError(await fixture.chat({}, { "x-foxlead-idempotent": value }), expected);
         }
     });
 
-    it("tells what is wrong with an idempotency key", async () => {
+    it("describes the error of an idempotency key", async () => {
         const keys: [string, RegExp][] = [
             ["nonsense", /not a UUID of version 7/],
             ["e3b0c442-98fc-4c14-9afb-f4c8996fb924", /not a UUID of version 7/],
@@ -121,7 +121,7 @@
         }
     });
 
-    it("refuses a key that was used with another body, and answers the same one from the kept answer", async () => {
+    it("rejects a key that was used with another body, and replays the stored answer for the same body", async () => {
         const key = { "idempotency-key": NodeFixture.createKey() };
         const first = await fixture.chat({ model: "letters" }, key);
         assert.equal(first.status, 200, first.text);
--- a/tests/connection/caller/callerServer.test.ts
+++ b/tests/connection/caller/callerServer.test.ts
@@ -12,21 +12,25 @@
 
 const apiKey = NodeFixture.apiKey;
 
-/** An admission that does what a test asks for, in the place of the handler. */
+/** Creates an environment whose admission runs a function of the test instead of the handler. */
 function createEnvironment(requestAdmission: () => unknown): Partial<RequestEnvironment> {
     const admission = { waitingCount: 0, requestAdmission } as unknown as Admission;
     return { admission, getGateCapacity: () => 1, random: () => 0.5 };
 }
 
-async function send(address: string, path = "/v1/services/summaries/a", more: Record<string, string> = {}) {
-    const headers = { authorization: `Bearer ${apiKey}`, "content-type": "application/json", ...more };
+async function send(
+    address: string,
+    path = "/v1/services/summaries/a",
+    additionalHeaders: Record<string, string> = {},
+) {
+    const headers = { authorization: `Bearer ${apiKey}`, "content-type": "application/json", ...additionalHeaders };
     const body = NodeFixture.createChatBody();
     const response = await request(`http://${address}${path}`, { method: "POST", headers, body });
     return { status: response.statusCode, headers: response.headers, text: await response.body.text() };
 }
 
 describe("CallerServer", () => {
-    it("answers a request whose handler throws, and notes it", async () => {
+    it("answers and logs a request whose handler throws", async () => {
         const thrown: [unknown, number, RegExp][] = [
             [new Error("secret"), events.requestCrashed.number, /FL1703/],
             ["text", events.requestCrashed.number, /FL1703/],
@@ -46,7 +50,7 @@
         }
     });
 
-    it("gives one answer where the handler throws after the final one", async () => {
+    it("sends only one answer if the handler throws after the final answer", async () => {
         const release = () => {
             throw new Error("late");
         };
@@ -62,7 +66,7 @@
         await server.close();
     });
 
-    it("closes the connection with an answer that leaves while the node takes no requests", async () => {
+    it("closes the connection after an answer that is sent while the node accepts no requests", async () => {
         let isDraining = false;
         const environment = createEnvironment(() => {
             throw new Error("unused");
@@ -81,7 +85,7 @@
         await server.close();
     });
 
-    it("starts where the header's time is longer than the whole request's", async () => {
+    it("starts if the header timeout is longer than the timeout of the whole request", async () => {
         const limits = { headerTimeoutMilliseconds: 2_000, bodyTimeoutMilliseconds: 1_000 };
         const environment = createEnvironment(() => undefined);
         const { server, address } = await createCallerServer({ apiKey, environment, limits });
--- a/tests/connection/caller/callerServerFixture.ts
+++ b/tests/connection/caller/callerServerFixture.ts
@@ -13,7 +13,7 @@
 /** Options of {@link createCallerServer}. */
 interface CallerServerFixtureOptions {
     apiKey: string;
-    /** Parts of the process that a test replaces; the others throw when they are used. */
+    /** Parts of the process that the test replaces. The others are undefined, except for a few common ones. */
     environment: Partial<RequestEnvironment>;
     limits?: object;
     getRefusal?(): { code: string; message: string; retryAfterMilliseconds: number; } | undefined;
@@ -21,7 +21,7 @@
 
 const unusedAddress = "127.0.0.1:1";
 
-/** Starts a caller server whose parts a test chooses. */
+/** Starts a caller server with parts that the test replaces. */
 export async function createCallerServer(options: CallerServerFixtureOptions) {
     const [port] = await findFreePorts(1);
     const address = `127.0.0.1:${port}`;
--- a/tests/connection/caller/callerTls.test.ts
+++ b/tests/connection/caller/callerTls.test.ts
@@ -5,7 +5,7 @@
 import { Agent, request } from "undici";
 import { createHttpServer } from "../../../src/connection/caller/createHttpServer.ts";
 
-describe("the callers' listener under TLS", () => {
+describe("the server for callers with TLS", () => {
     const read = (file: string) => {
         return readFileSync(new URL(`../../support/certificates/${file}`, import.meta.url), "utf8");
     };
@@ -29,11 +29,11 @@
         }
     }
 
-    it("answers callers that trust its authority", async () => {
+    it("answers callers that trust its certificate authority", async () => {
         assert.equal(await ask("https", "authority.crt"), "answered");
     });
 
-    it("is refused by callers that trust another, and refuses clear text", async () => {
+    it("is rejected by callers that trust another authority, and rejects unencrypted connections", async () => {
         await assert.rejects(ask("https", "stranger.crt"));
         await assert.rejects(ask("http", "authority.crt"));
     });
--- a/tests/connection/caller/createNodeConfiguration.ts
+++ b/tests/connection/caller/createNodeConfiguration.ts
@@ -1,17 +1,18 @@
-/** Addresses of the endpoints of a test's configuration. */
+/** Addresses of the endpoints in the configuration of a test. */
 export type EndpointAddresses = Record<"engine-1" | "engine-2" | "document-1" | "document-2", string>;
 
-/** What a test may change. */
+/** Settings that a test can change. */
 interface ConfigurationOptions {
     configurationLimits?: object;
     documentTimeoutMilliseconds?: number;
 }
 
 /**
- * Creates the operators' text of a test: two engines that hold half of a model each, and two document services.
- * @param addresses - host:port of each endpoint.
- * @param keyHash - Hash of the one customer's API key.
- * @param options - What differs from the defaults.
+ * Creates the configuration of a test: two engines that each hold half of a model, and document services with two
+ * endpoints.
+ * @param addresses - Address of each endpoint, as host:port.
+ * @param keyHash - Hash of the API key of the only customer.
+ * @param options - Settings that differ from the defaults.
  */
 export function createNodeConfiguration(
     addresses: EndpointAddresses,
--- a/tests/connection/caller/gracefulStop.test.ts
+++ b/tests/connection/caller/gracefulStop.test.ts
@@ -8,11 +8,11 @@
 import { RawCaller } from "./rawCaller.ts";
 
 const apiKey = "key";
-/** More than the sockets of both sides hold. */
+/** Larger than the socket buffers of both sides. */
 const answerBytes = 16 * 1024 * 1024;
 const answer = { status: 200, contentType: "text/plain", body: Buffer.alloc(answerBytes, "x") };
 
-/** Starts a server that answers with a long kept answer, and a caller that does not read it. */
+/** Starts a server that replays a large stored answer, and a caller that doesn't read it. */
 async function startSlowReading() {
     const admission = { waitingCount: 0, requestAdmission: () => Ok({ release: () => undefined }) };
     const claim = () => Promise.resolve({ kind: "answered", answer } as const);
@@ -35,8 +35,8 @@
     return { server, caller };
 }
 
-describe("a planned stop", () => {
-    it("waits until a slow caller has taken its answer", async () => {
+describe("a graceful stop", () => {
+    it("waits until a slow caller has received its answer", async () => {
         const { server, caller } = await startSlowReading();
         let isIdle = false;
         const stopping = server.waitUntilIdle().then(() => {
@@ -51,7 +51,7 @@
         assert.equal(received.split("\r\n\r\n")[1]!.length, answerBytes);
     });
 
-    it("ends in spite of a caller that does not read, once it is forced", async () => {
+    it("ends despite a caller that doesn't read, once it is forced", async () => {
         const { server, caller } = await startSlowReading();
         server.abortRequests();
         await server.waitUntilIdle();
--- a/tests/connection/caller/hostileCallers.test.ts
+++ b/tests/connection/caller/hostileCallers.test.ts
@@ -8,7 +8,7 @@
 const chatPath = "/v1/chat/completions";
 const seed = 20261202;
 
-/** Starts a request by hand. */
+/** Creates the head of a raw request. */
 function createHead(headers: readonly string[], path = chatPath): string {
     const all = ["host: node", `authorization: Bearer ${NodeFixture.apiKey}`, ...headers];
     return `POST ${path} HTTP/1.1\r\n${all.join("\r\n")}\r\n\r\n`;
@@ -21,7 +21,7 @@
     return { status: Number(head!.split(" ")[1]), code: error.code };
 }
 
-describe("callers that are broken or hostile", () => {
+describe("faulty or malicious callers", () => {
     let fixture: NodeFixture;
 
     before(async () => {
@@ -36,7 +36,7 @@
         await fixture.assertServes();
     });
 
-    /** Sends bytes over a connection of their own and asserts how the node closes it. */
+    /** Sends bytes over a new connection and asserts the error with which the node closes it. */
     async function assertClosedWith(bytes: string | Buffer, status: number, code: string): Promise<void> {
         const runs = fixture.countRuns();
         const caller = await RawCaller.connect(fixture.address);
@@ -63,14 +63,14 @@
         await assertClosedWith(`${createHead(["transfer-encoding: chunked"])}zz\r\n`, 400, "invalid_http");
     });
 
-    it("are dropped when they fall silent", async () => {
+    it("are disconnected when they stop sending", async () => {
         await assertClosedWith("", 408, "request_timeout");
         await assertClosedWith("POST /v1/chat", 408, "request_timeout");
         await assertClosedWith(`POST ${chatPath} HTTP/1.1\r\nhost: node\r\n`, 408, "request_timeout");
         await assertClosedWith(`${createHead(["content-length: 100"])}{"model"`, 408, "request_timeout");
     });
 
-    it("get one answer where they announce a body and fall silent after the refusal", async () => {
+    it("get one answer if they announce a body and stop sending after the refusal", async () => {
         for (const path of [chatPath, "/nothing"]) {
             const caller = await RawCaller.connect(fixture.address);
             caller.write(createHead(["content-length: 10000000000"], path));
@@ -78,7 +78,7 @@
         }
     });
 
-    it("are dropped when they send too slowly", async () => {
+    it("are disconnected when they send too slowly", async () => {
         const caller = await RawCaller.connect(fixture.address);
         caller.write(createHead(["content-length: 100000"]));
         const timer = setInterval(() => caller.write(" "), 20);
@@ -87,14 +87,14 @@
         assert.deepEqual(parseRawError(received), { status: 408, code: "request_timeout" });
     });
 
-    it("may not send more headers than the limit", async () => {
+    it("can't send more headers than the limit", async () => {
         await assertClosedWith(createHead([`x-long: ${"a".repeat(40_000)}`]), 431, "headers_too_large");
         const many = Array.from({ length: 5_000 }, (_, index) => `x-${index}: v`);
         await assertClosedWith(createHead(many), 431, "headers_too_large");
         await assertClosedWith(`GET /${"a".repeat(40_000)} HTTP/1.1\r\n\r\n`, 431, "headers_too_large");
     });
 
-    it("lose no header among very many", async () => {
+    it("lose no header if they send very many", async () => {
         const runs = fixture.countRuns();
         const many = Array.from({ length: 2_500 }, () => "a: b");
         const caller = await RawCaller.connect(fixture.address);
@@ -106,7 +106,7 @@
         assert.equal(fixture.countRuns(), runs);
     });
 
-    it("get the answer to a whole request before the error of garbage after it", async () => {
+    it("get the answer to a complete request instead of an error for the garbage after it", async () => {
         const key = NodeFixture.createKey();
         const body = NodeFixture.createChatBody({ model: "letters", max_tokens: 8 });
         const caller = await RawCaller.connect(fixture.address);
@@ -118,7 +118,7 @@
         assert.equal(received.match(/HTTP\/1\.1 /g)?.length, 1);
     });
 
-    it("leave nothing behind when they reset in the middle of a body", async () => {
+    it("leave no running requests when they reset the connection within a body", async () => {
         const runs = fixture.countRuns();
         for (let round = 0; round < 20; round += 1) {
             const caller = await RawCaller.connect(fixture.address);
@@ -130,7 +130,7 @@
         assert.equal(fixture.countRuns(), runs);
     });
 
-    it("do not keep others out by 200 idle connections, which are closed", async () => {
+    it("don't block others with 200 idle connections, which are closed", async () => {
         const idle = await Promise.all(Array.from({ length: 200 }, () => RawCaller.connect(fixture.address)));
         await fixture.assertServes();
         for (const caller of idle) {
--- a/tests/connection/caller/largeBodies.test.ts
+++ b/tests/connection/caller/largeBodies.test.ts
@@ -15,7 +15,7 @@
     return `${bytes.toString(16)}\r\n${"a".repeat(bytes)}\r\n`;
 }
 
-/** Asserts that what came is one whole error answer that ends its connection. */
+/** Asserts that the received text is one complete error response that closes its connection. */
 function assertOneError(received: string, status: number): void {
     const [head, body] = received.split("\r\n\r\n");
     assert.match(head!, new RegExp(`^HTTP/1.1 ${status} `));
@@ -37,7 +37,7 @@
         await fixture.close();
     });
 
-    it("are refused by their announced length", async () => {
+    it("are refused because of their announced length", async () => {
         NodeFixture.assertError(await fixture.post(chatPath, "a".repeat(100_001)), tooLarge);
     });
 
@@ -53,13 +53,13 @@
         assertOneError(await caller.readToEnd(), 413);
     });
 
-    it("are refused without an invitation to send them", async () => {
+    it("are refused without a 100 Continue response", async () => {
         const caller = await RawCaller.connect(fixture.address);
         caller.write(createHead(["content-length: 10000000000", "expect: 100-continue"]));
         assertOneError(await caller.readToEnd(), 413);
     });
 
-    it("are not read without end after the refusal", async () => {
+    it("are read only up to a limit after the refusal", async () => {
         for (const key of [NodeFixture.apiKey, "wrong"]) {
             const caller = await RawCaller.connect(fixture.address);
             caller.write(createHead(["transfer-encoding: chunked"], key));
@@ -80,7 +80,7 @@
         }
     });
 
-    it("do not end the connection of a caller whose body was read", async () => {
+    it("are distinguished from invalid bodies, which keep the connection open", async () => {
         const caller = await RawCaller.connect(fixture.address);
         const request = `${createHead(["content-length: 1", "expect: 100-continue"])}`;
         caller.write(request);
--- a/tests/connection/caller/lateCallers.test.ts
+++ b/tests/connection/caller/lateCallers.test.ts
@@ -8,14 +8,15 @@
 
 const key = "key";
 
-// A node that was busy with itself began requests whose callers had left meanwhile.
-describe("Requests whose callers left before they were read", () => {
-    it("are not begun", async () => {
-        let begun = 0;
+// Guards against starting requests whose callers disconnected while the event loop was blocked: the loop then reads a request
+// and the close of its connection together.
+describe("requests whose callers disconnected before they were read", () => {
+    it("are not started", async () => {
+        let started = 0;
         const admission = {
             waitingCount: 0,
             requestAdmission: () => {
-                begun += 1;
+                started += 1;
                 return Err(RequestError.cancelled());
             },
         };
@@ -24,6 +25,6 @@
         const path = "/v1/services/receipts/a";
         await leaveWhileBusy({ address, key, path, count: 20, keepsConnections: false });
         await server.close();
-        assert.equal(begun, 0);
+        assert.equal(started, 0);
     });
 });
--- a/tests/connection/caller/nodeFixture.ts
+++ b/tests/connection/caller/nodeFixture.ts
@@ -17,49 +17,49 @@
 
 /** Options of a {@link NodeFixture}. */
 interface NodeFixtureOptions {
-    /** Limits of the node's settings. */
+    /** Limits in the settings of the node. */
     limits?: object;
-    /** Addresses of endpoints that a test brings itself, by name. */
+    /** Addresses of endpoints that the test provides, by name. */
     addresses?: Partial<EndpointAddresses>;
-    /** Further limits of the configuration. */
+    /** Additional limits of the configuration. */
     configurationLimits?: object;
-    /** Time that a call of a document service may take, in milliseconds. */
+    /** Timeout of a call to a document service. */
     documentTimeoutMilliseconds?: number;
     stepBaseMilliseconds?: number;
-    /** Time that an engine needs to load layers that it is ordered to load, in milliseconds. */
+    /** Time that an engine needs to load the weights of layers. */
     weightLoadMilliseconds?: number;
 }
 
-/** What a caller got. */
+/** The response that a caller received. */
 export interface CallerAnswer {
     status: number;
     headers: Record<string, string | string[] | undefined>;
     text: string;
 }
 
-/** An error as a caller sees it. */
+/** The expected error of a caller. */
 interface ErrorExpectation {
     status: number;
     code: string;
     outcome: string;
-    /** What the message says. */
+    /** Pattern of the message. */
     message: RegExp;
 }
 
-/** A real node in the test's process, with stand-ins of the platform, two engines and two document services. */
+/** A node in the process of the test, with stand-ins for the platform, two engines and two document services. */
 export class NodeFixture {
     static readonly apiKey = "key-of-the-families";
     readonly log = RecordingEventLog.create();
     readonly engines: EngineStandin[] = [];
     readonly documents: DocumentStandin[] = [];
     node!: FoxleadNode;
-    /** host:port where callers connect. */
+    /** Address for callers, as host:port. */
     address = "";
     private platform!: PlatformStandin;
 
     private constructor() {}
 
-    /** Starts a node and brings its configuration into force. */
+    /** Starts the stand-ins, applies the configuration and starts the node. */
     static async create(options: NodeFixtureOptions = {}): Promise<NodeFixture> {
         const fixture = new NodeFixture();
         fixture.platform = await PlatformStandin.create({ port: 0 });
@@ -69,20 +69,20 @@
         return fixture;
     }
 
-    /** Calls the node. */
+    /** Sends a request to the node. */
     async call(method: string, path: string, headers: Record<string, string>, body?: string): Promise<CallerAnswer> {
         const options = { method: method as "GET", headers, body, headersTimeout: 20_000 };
         const response = await request(`http://${this.address}${path}`, options);
         return { status: response.statusCode, headers: response.headers, text: await response.body.text() };
     }
 
-    /** Posts a body with the API key. */
+    /** Sends a POST request with the API key. */
     post(path: string, body: string, headers: Record<string, string> = {}): Promise<CallerAnswer> {
         const all = { authorization: `Bearer ${NodeFixture.apiKey}`, "content-type": "application/json", ...headers };
         return this.call("POST", path, all, body);
     }
 
-    /** Posts a chat request. */
+    /** Sends a chat request. */
     chat(change: object = {}, headers: Record<string, string> = {}): Promise<CallerAnswer> {
         return this.post("/v1/chat/completions", NodeFixture.createChatBody(change), headers);
     }
@@ -96,7 +96,7 @@
         return createUuid();
     }
 
-    /** Counts what has run: passes at the engines and calls of the document services. */
+    /** Counts the passes that ran at the engines and the calls that ran at the document services. */
     countRuns(): number {
         let runs = 0;
         for (const engine of this.engines) {
@@ -108,7 +108,7 @@
         return runs;
     }
 
-    /** Sequences that hold memory at the engines. */
+    /** Counts the sequences that occupy memory at the engines. */
     countSequences(): number {
         let sequences = 0;
         for (const engine of this.engines) {
@@ -117,13 +117,13 @@
         return sequences;
     }
 
-    /** Asserts that an ordinary request is answered whole. */
+    /** Asserts that a valid request succeeds. */
     async assertServes(): Promise<void> {
         const answer = await this.chat();
         assert.equal(answer.status, 200, answer.text);
     }
 
-    /** Asserts that an answer is a certain error in the shape that OpenAI's clients read. */
+    /** Asserts that an answer is the expected error in the format of the OpenAI API. */
     static assertError(answer: CallerAnswer, expected: ErrorExpectation): void {
         assert.equal(answer.status, expected.status, answer.text);
         const { error } = JSON.parse(answer.text) as { error: Record<string, string>; };
--- a/tests/connection/caller/rawCaller.ts
+++ b/tests/connection/caller/rawCaller.ts
@@ -2,7 +2,7 @@
 import { connect, type Socket } from "node:net";
 import { waitUntil } from "../../support/waitUntil.ts";
 
-/** A caller that writes bytes of its own to a socket and reads what comes. */
+/** A caller that sends raw bytes over a socket and collects the received text. */
 export class RawCaller {
     readonly socket: Socket;
     private received = "";
@@ -34,19 +34,19 @@
         this.socket.write(bytes);
     }
 
-    /** Gets what has come so far. */
+    /** Gets the text received so far. */
     getReceived(): string {
         return this.received;
     }
 
-    /** Waits until the other side has closed the connection; returns all that came. */
+    /** Waits until the connection is closed. Returns the received text. */
     async readToEnd(): Promise<string> {
         await waitUntil("the connection is closed", () => this.isClosed);
         return this.received;
     }
 
-    /** Waits until a text has come. */
+    /** Waits until a text is received. */
     async waitFor(text: string): Promise<void> {
-        await waitUntil(`${JSON.stringify(text)} has come`, () => this.received.includes(text));
+        await waitUntil(`${JSON.stringify(text)} is received`, () => this.received.includes(text));
     }
 }
--- a/tests/connection/caller/slowCallers.test.ts
+++ b/tests/connection/caller/slowCallers.test.ts
@@ -7,7 +7,7 @@
 
 const prompt = "the contract of the year ";
 
-/** A prompt to which the reference model gives a long answer. */
+/** Finds a prompt for which the reference model generates the maximum number of tokens. */
 function findLongPrompt(maximumTokens: number): { content: string; text: string; } {
     for (let index = 0;; index += 1) {
         const content = `${prompt}${index}`;
@@ -29,7 +29,7 @@
     return `${all.join("\r\n")}\r\n\r\n${body}`;
 }
 
-/** Joins the text of all events of a stream. */
+/** Concatenates the text of all events of a stream. */
 function readText(received: string): string {
     let text = "";
     for (const [, data] of received.matchAll(/^data: (\{.*\})\r?$/gm)) {
@@ -39,7 +39,7 @@
     return text;
 }
 
-describe("callers that read slowly or go away", () => {
+describe("callers that read slowly or disconnect", () => {
     let fixture: NodeFixture;
     const long = findLongPrompt(400);
     const body = { stream: true, max_tokens: 400, messages: [{ role: "user", content: long.content }] };
@@ -59,7 +59,7 @@
         return caller;
     }
 
-    it("get the answer whole when they read again, while others are served", async () => {
+    it("get the complete answer when they continue reading, while others are served", async () => {
         const caller = await startStream(["connection: close"]);
         caller.socket.pause();
         await fixture.assertServes();
@@ -70,7 +70,7 @@
         assert.match(received, /data: \[DONE\]/);
     });
 
-    it("free their sequences at every engine when they go away", async () => {
+    it("free their sequences at all engines when they disconnect", async () => {
         const caller = await startStream();
         assert.ok(fixture.countSequences() > 0);
         caller.socket.destroy();
@@ -78,7 +78,7 @@
         await waitUntil("no request is left", () => fixture.node.getStatus().runningRequests === 0);
     });
 
-    it("free also the sequences of requests whose answers wait behind others", async () => {
+    it("also free the sequences of pipelined requests whose answers wait for others", async () => {
         const caller = await startStream();
         for (let index = 0; index < 3; index += 1) {
             caller.write(createRequest(NodeFixture.createChatBody(body)));
@@ -87,10 +87,10 @@
         const passes = fixture.countRuns();
         caller.socket.destroy();
         await waitUntil("no request is left", () => fixture.node.getStatus().runningRequests === 0);
-        assert.ok(fixture.countRuns() - passes < 4 * 400, "The requests ran to their ends without their caller.");
+        assert.ok(fixture.countRuns() - passes < 4 * 400, "The requests ran to completion without their caller.");
     });
 
-    it("get the kept answer, streamed and whole, when they ask again for a claimed request", async () => {
+    it("get the complete stored answer as a stream when they retry a claimed request", async () => {
         const key = NodeFixture.createKey();
         const claimed = { ...body, model: "letters" };
         const caller = await startStream([`idempotency-key: ${key}`], { model: "letters" });
