--- a/src/connection/caller/answerWriter.ts
+++ b/src/connection/caller/answerWriter.ts
@@ -9,9 +9,9 @@
 const bodilessStatuses: ReadonlySet<number> = new Set([204, 304]);
 
 /**
- * Writes the final answer of a request to its caller, as one response or as server-sent events. While the connection applies
- * backpressure, text is buffered and then sent as one event, so that a slow caller needs no more memory than the text of the
- * answer.
+ * Writes the final answer of a request to its caller, as one response or as server-sent events. While the connection
+ * applies backpressure, text is buffered and then sent as one event, so that a slow caller needs no more memory than
+ * the text of the answer.
  */
 export class AnswerWriter {
     private readonly response: ServerResponse;
@@ -177,7 +177,10 @@
         return isBodyUnread || this.closesConnection() ? { connection: "close" } : {};
     }
 
-    /** Omits the length of a body that is not sent: it is unknown here and must not be stated as 0 (RFC 9110, section 8.6). */
+    /**
+     * Omits the length of a body that is not sent: it is unknown here and must not be stated as 0
+     * (RFC 9110, section 8.6).
+     */
     private createLengthHeaders(status: number, body: string | Buffer): Record<string, number> {
         const length = Buffer.byteLength(body);
         const isBodyOmitted = this.response.req.method === "HEAD" || bodilessStatuses.has(status);
--- a/src/connection/caller/callerConnections.ts
+++ b/src/connection/caller/callerConnections.ts
@@ -21,8 +21,9 @@
 const lingerMilliseconds = 500;
 
 /**
- * Tracks the requests of each open connection. When a caller disconnects, all its requests are aborted, including pipelined
- * ones whose responses wait for others. When a caller sends invalid bytes, the error doesn't replace a pending response.
+ * Tracks the requests of each open connection. When a caller disconnects, all its requests are aborted, including
+ * pipelined ones whose responses wait for others. When a caller sends invalid bytes, the error doesn't replace a
+ * pending response.
  */
 export class CallerConnections {
     private readonly connections = new WeakMap<Socket, CallerConnection>();
@@ -46,8 +47,8 @@
     }
 
     /**
-     * Responds to a parse error or a timeout with an error and closes the connection. If responses to earlier requests are
-     * pending, the connection closes after the last of them instead.
+     * Responds to a parse error or a timeout with an error and closes the connection. If responses to earlier requests
+     * are pending, the connection closes after the last of them instead.
      * @param error - Error of the HTTP parser, or the timeout.
      */
     handleClientError(error: Error & { code?: string; }, socket: Socket): void {
--- a/src/connection/caller/callerServer.ts
+++ b/src/connection/caller/callerServer.ts
@@ -28,14 +28,17 @@
 const allMethods = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"] as const;
 
 /**
- * The HTTP server for callers. It routes requests, identifies their customers, reads their bodies and sends exactly one final
- * answer per request.
+ * The HTTP server for callers. It routes requests, identifies their customers, reads their bodies and sends exactly one
+ * final answer per request.
  */
 export class CallerServer {
     private readonly options: CallerServerOptions;
     private readonly server: Server;
     private readonly connections = CallerConnections.create();
-    /** Delays requests until pending input is read, which may contain the disconnect of the caller if the event loop was blocked. */
+    /**
+     * Delays requests until pending input is read, which may contain the disconnect of the caller if the event loop was
+     * blocked.
+     */
     private readonly barrier = InputBarrier.create();
     private readonly running = RunningRequests.create();
     /** Aborts the remaining requests on a forced stop. */
--- a/src/connection/caller/createHttpServer.ts
+++ b/src/connection/caller/createHttpServer.ts
@@ -39,7 +39,8 @@
         ? createServer(serverOptions, onRequest)
         : createTlsServer({ ...serverOptions, cert: tls.certificate, key: tls.key }, onRequest);
     server.maxConnections = maximumConnections;
-    // The size of the headers is already limited. With a limit of their number, Node.js would silently drop further headers.
+    // The size of the headers is already limited. With a limit of their number, Node.js would silently drop further
+    // headers.
     server.maxHeadersCount = 0;
     server.on("checkContinue", onRequest);
     return server;
--- a/src/connection/caller/createRequestContext.ts
+++ b/src/connection/caller/createRequestContext.ts
@@ -10,8 +10,8 @@
 const notReadyRetryMilliseconds = 1_000;
 
 /**
- * Creates the context of a request: identifies its customer and reads its headers. Refuses the request if the node does not
- * accept requests.
+ * Creates the context of a request: identifies its customer and reads its headers. Refuses the request if the node does
+ * not accept requests.
  * @param options - Options of the server.
  * @param request - The caller's request.
  * @param arrivedAt - Monotonic time of its arrival, in milliseconds.
--- a/src/connection/caller/drainBody.ts
+++ b/src/connection/caller/drainBody.ts
@@ -4,8 +4,8 @@
 const maximumDrainMilliseconds = 1_000;
 
 /**
- * Reads and discards the rest of the body of a refused request, up to a time limit and a size limit. Closing a connection
- * with unread bytes resets it, and the caller could lose the response.
+ * Reads and discards the rest of the body of a refused request, up to a time limit and a size limit. Closing a
+ * connection with unread bytes resets it, and the caller could lose the response.
  * @param request - The caller's request.
  */
 export function drainBody(request: IncomingMessage): Promise<void> {
--- a/src/connection/caller/readBody.ts
+++ b/src/connection/caller/readBody.ts
@@ -5,8 +5,8 @@
 const continuePattern = /^100-continue$/i;
 
 /**
- * Reads the body of a request into memory. Reading stops when the body exceeds the maximum size. A caller that waits for
- * permission to send the body (`Expect: 100-continue`) only gets it if the announced length is allowed.
+ * Reads the body of a request into memory. Reading stops when the body exceeds the maximum size. A caller that waits
+ * for permission to send the body (`Expect: 100-continue`) only gets it if the announced length is allowed.
  * @param request - The caller's request.
  * @param response - Response to the request.
  * @param maximumBytes - Maximum size of the body. Larger bodies are refused.
--- a/src/connection/document/documentConnection.ts
+++ b/src/connection/document/documentConnection.ts
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Sends a call without retries. A call that is not idempotent uses a new connection, so that it can't be lost on a dead
-     * one.
+     * Sends a call without retries. A call that is not idempotent uses a new connection, so that it can't be lost on a
+     * dead one.
      */
     async send(call: DocumentCall, signal: AbortSignal): Promise<Result<DocumentAnswer, DocumentFailure>> {
         const dispatcher = call.isIdempotent ? this.agent : createAgent();
@@ -56,7 +56,9 @@
         }
     }
 
-    /** Gets if the endpoint accepts a new connection. No byte is sent, since the services have no common health check. */
+    /**
+     * Gets if the endpoint accepts a new connection. No byte is sent, since the services have no common health check.
+     */
     isAnswering(): Promise<boolean> {
         const { hostname, port } = new URL(`tcp://${this.options.address}`);
         return new Promise(resolve => {
--- a/src/connection/endpoint/endpointBelief.ts
+++ b/src/connection/endpoint/endpointBelief.ts
@@ -7,9 +7,9 @@
 const ownAnswerMilliseconds = 1_000;
 
 /**
- * Tracks the state of one endpoint from four sources: this node's own calls, the endpoint's status, the reports of peers and
- * the VM list of the platform. One source that reports "leaving" is sufficient. The VM list and the other sources are
- * tracked separately, so that neither cancels a "leaving" of the other.
+ * Tracks the state of one endpoint from four sources: this node's own calls, the endpoint's status, the reports of
+ * peers and the VM list of the platform. One source that reports "leaving" is sufficient. The VM list and the other
+ * sources are tracked separately, so that neither cancels a "leaving" of the other.
  */
 export class EndpointBelief {
     private readonly endpoint: string;
--- a/src/connection/endpoint/endpointDirectory.ts
+++ b/src/connection/endpoint/endpointDirectory.ts
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Applies the endpoints of a new configuration. Unchanged endpoints keep their connections. Passes in progress at removed
-     * endpoints fail.
+     * Applies the endpoints of a new configuration. Unchanged endpoints keep their connections. Passes in progress at
+     * removed endpoints fail.
      */
     update(configuration: Pick<Configuration, "endpoints">): void {
         for (const entry of [...this.entries.values()]) {
--- a/src/connection/endpoint/endpointObserver.ts
+++ b/src/connection/endpoint/endpointObserver.ts
@@ -13,8 +13,8 @@
     /** Mean time between two status reads of one endpoint. */
     intervalMilliseconds: number;
     /**
-     * Gets the factor by which the intervals of infrequent work grow with the number of nodes, so that its total over all
-     * nodes stays constant. It is 1 for few nodes.
+     * Gets the factor by which the intervals of infrequent work grow with the number of nodes, so that its total over
+     * all nodes stays constant. It is 1 for few nodes.
      */
     getStretch(): number;
     /** Gets if this node is an observer of an endpoint. */
--- a/src/connection/endpoint/endpointReports.ts
+++ b/src/connection/endpoint/endpointReports.ts
@@ -18,14 +18,14 @@
 const bytesPerRange = 24;
 const servingState = "serving";
 /**
- * Factor of the number of messages that include a report. This number grows with the logarithm of the number of nodes, as
- * in SWIM.
+ * Factor of the number of messages that include a report. This number grows with the logarithm of the number of nodes,
+ * as in SWIM.
  */
 const transmissionFactor = 4;
 
 /**
- * The endpoint reports that nodes spread by gossip. A new report is sent a limited number of times, and a newer one of the
- * same endpoint replaces it. Sequence numbers are the wall-clock time of the observation in milliseconds.
+ * The endpoint reports that nodes spread by gossip. A new report is sent a limited number of times, and a newer one of
+ * the same endpoint replaces it. Sequence numbers are the wall-clock time of the observation in milliseconds.
  */
 export class EndpointReports {
     private readonly latest = new Map<string, EndpointReport>();
--- a/src/connection/endpoint/engineCalls.ts
+++ b/src/connection/endpoint/engineCalls.ts
@@ -47,7 +47,9 @@
             : Err(createPassFailure(endpoint, "failed", "the status does not match the schema"));
     }
 
-    /** Sends an order. Returns the HTTP status: 200 if the engine accepted it, 409 if its fencing number is outdated. */
+    /**
+     * Sends an order. Returns the HTTP status: 200 if the engine accepted it, 409 if its fencing number is outdated.
+     */
     async sendOrder(order: EngineOrder): Promise<Result<number, PassFailure>> {
         const answer = await this.call("POST", "/v1/orders", order);
         return answer.ok ? Ok(answer.val.status) : answer;
--- a/src/connection/endpoint/engineConnection.ts
+++ b/src/connection/endpoint/engineConnection.ts
@@ -33,19 +33,22 @@
 const notRunReasons: ReadonlySet<string> = new Set(["leaving", "memory", "layers", "model"]);
 
 /**
- * The connections of this node to one model engine. Passes added in the same turn of the event loop are sent as one batch.
+ * The connections of this node to one model engine. Passes added in the same turn of the event loop are sent as one
+ * batch.
  *
- * When a pass exceeds its deadline, the engine is probed over a new connection. If the engine answers, the old connections
- * are replaced and the pass is sent again; the engine doesn't run it twice. If it doesn't answer, all pending passes fail
- * together, so that each of them need not wait for its own deadline.
+ * When a pass exceeds its deadline, the engine is probed over a new connection. If the engine answers, the old
+ * connections are replaced and the pass is sent again; the engine doesn't run it twice. If it doesn't answer, all
+ * pending passes fail together, so that each of them need not wait for its own deadline.
  */
 export class EngineConnection {
     private readonly options: EngineConnectionOptions;
     private readonly origin: string;
     private readonly deadline = HopDeadline.create();
-    private readonly waiting = new Map<number, WaitingPass>();
+    /** Passes without a result, by ID. */
+    private readonly pendingPasses = new Map<number, WaitingPass>();
     private readonly prefillWindow = PrefillWindow.create(maximumPrefillPositions);
-    private queued: WaitingPass[] = [];
+    /** Passes of the next batch. */
+    private nextBatch: WaitingPass[] = [];
     private readonly pool: EnginePool;
     private readonly calls: EngineCalls;
     private nextId = 1;
@@ -81,13 +84,13 @@
     runPass(pass: Omit<Pass, "id">, positions: number): Promise<Result<PassResult, PassFailure>> {
         this.reachability.observeUse();
         return new Promise(resolve => {
-            const pendingPass = this.createWaitingPass({ ...pass, id: this.nextId++ }, positions, resolve);
+            const pendingPass = this.createPendingPass({ ...pass, id: this.nextId++ }, positions, resolve);
             if (this.isClosed || this.reachability.isUnreachable()) {
                 const reason = this.isClosed ? "closed" : "no response to a probe";
                 pendingPass.settle(Err(this.createFailure("notSent", reason)));
                 return;
             }
-            this.waiting.set(pendingPass.pass.id, pendingPass);
+            this.pendingPasses.set(pendingPass.pass.id, pendingPass);
             if (positions > 1) {
                 this.prefillWindow.add(pendingPass);
                 this.enqueuePrefills();
@@ -102,7 +105,7 @@
      * ignored, because the engine frees idle sequences itself.
      */
     async cancel(order: CancelOrder): Promise<void> {
-        for (const pendingPass of this.waiting.values()) {
+        for (const pendingPass of this.pendingPasses.values()) {
             const { request, attempt } = pendingPass.pass;
             if (request === order.request && attempt === order.attempt && pendingPass.sentAt.length === 0) {
                 this.settle(pendingPass, Err(this.createFailure("notSent", "cancelled")));
@@ -120,14 +123,16 @@
         return status;
     }
 
-    /** Sends an order. Returns the HTTP status: 200 if the engine accepted it, 409 if its fencing number is outdated. */
+    /**
+     * Sends an order. Returns the HTTP status: 200 if the engine accepted it, 409 if its fencing number is outdated.
+     */
     sendOrder(order: EngineOrder): Promise<Result<number, PassFailure>> {
         return this.calls.sendOrder(order);
     }
 
     /**
-     * Probes the engine over a new connection and gets if it answers. Concurrent calls share one probe. If the probe gets
-     * no response, all pending passes fail.
+     * Probes the engine over a new connection and gets if it answers. Concurrent calls share one probe. If the probe
+     * gets no response, all pending passes fail.
      */
     isAnswering(): Promise<boolean> {
         return this.reachability.probe();
@@ -141,13 +146,13 @@
     /** Closes the connections and fails the pending passes. */
     async close(): Promise<void> {
         this.isClosed = true;
-        for (const pendingPass of this.waiting.values()) {
+        for (const pendingPass of this.pendingPasses.values()) {
             this.settle(pendingPass, Err(this.createFailure("unreachable", "closed")));
         }
         await this.pool.destroy();
     }
 
-    private createWaitingPass(
+    private createPendingPass(
         pass: Pass,
         positions: number,
         settle: (outcome: Result<PassResult, PassFailure>) => void,
@@ -170,15 +175,15 @@
     }
 
     private enqueue(pendingPass: WaitingPass): void {
-        this.queued.push(pendingPass);
-        if (this.queued.length === 1) {
+        this.nextBatch.push(pendingPass);
+        if (this.nextBatch.length === 1) {
             setImmediate(() => this.flush());
         }
     }
 
     private flush(): void {
-        const batch = this.queued.filter(pendingPass => this.waiting.has(pendingPass.pass.id));
-        this.queued = [];
+        const batch = this.nextBatch.filter(pendingPass => this.pendingPasses.has(pendingPass.pass.id));
+        this.nextBatch = [];
         if (batch.length === 0) {
             return;
         }
@@ -211,7 +216,7 @@
     /** @param send - Number of the send that returned the result, from 1; undefined if the batch has no such pass. */
     private handleResult(result: PassResult, send: number | undefined): void {
         this.reachability.observeAnswer();
-        const pendingPass = this.waiting.get(result.id);
+        const pendingPass = this.pendingPasses.get(result.id);
         if (pendingPass === undefined || send === undefined) {
             return;
         }
@@ -235,7 +240,7 @@
     ): void {
         for (const pendingPass of batch) {
             const isCurrentSend = pendingPass.sentAt.length === sends.get(pendingPass.pass.id);
-            if (isCurrentSend && this.waiting.has(pendingPass.pass.id)) {
+            if (isCurrentSend && this.pendingPasses.has(pendingPass.pass.id)) {
                 pendingPass.mayHaveArrived ||= closing.mayHaveArrived;
                 void this.resendOrFail(pendingPass, closing.reason);
             }
@@ -261,7 +266,7 @@
         pendingPass.cancelTimer();
         const isAnswering = pendingPass.sentAt.length < maximumSends && await this.isAnswering();
         pendingPass.isDoubtful = false;
-        if (!this.waiting.has(pendingPass.pass.id)) {
+        if (!this.pendingPasses.has(pendingPass.pass.id)) {
             return;
         }
         if (!isAnswering) {
@@ -275,7 +280,7 @@
 
     private settle(pendingPass: WaitingPass, outcome: Result<PassResult, PassFailure>): void {
         pendingPass.cancelTimer();
-        this.waiting.delete(pendingPass.pass.id);
+        this.pendingPasses.delete(pendingPass.pass.id);
         pendingPass.settle(outcome);
         if (pendingPass.positions > 1) {
             this.prefillWindow.remove(pendingPass);
@@ -284,7 +289,7 @@
     }
 
     private failAll(reason: string): void {
-        for (const pendingPass of this.waiting.values()) {
+        for (const pendingPass of this.pendingPasses.values()) {
             const isInFlight = pendingPass.sentAt.length > 0 && !pendingPass.isDoubtful;
             const mayHaveArrived = pendingPass.mayHaveArrived || isInFlight;
             this.settle(pendingPass, Err(this.createFailure(mayHaveArrived ? "unreachable" : "notSent", reason)));
--- a/src/connection/endpoint/enginePool.ts
+++ b/src/connection/endpoint/enginePool.ts
@@ -32,7 +32,9 @@
         return this.pool;
     }
 
-    /** Makes new calls use new connections. Responses in progress may still complete on the old ones for a short time. */
+    /**
+     * Makes new calls use new connections. Responses in progress may still complete on the old ones for a short time.
+     */
     replace(): void {
         const oldPool = this.pool;
         this.pool = createPool(this.origin);
--- a/src/connection/endpoint/engineProtocol.ts
+++ b/src/connection/endpoint/engineProtocol.ts
@@ -3,16 +3,16 @@
 /**
  * The protocol of model engines: JSON over HTTP/1.1.
  *
- * - `POST /v1/passes` accepts a {@link PassBatch} and returns `application/x-ndjson` with one {@link PassResult} per line,
- *   each as soon as it is available. A pass that is sent again (same request, attempt, position and layer range) is not
- *   run again: its stored or pending result is returned.
+ * - `POST /v1/passes` accepts a {@link PassBatch} and returns `application/x-ndjson` with one {@link PassResult} per
+ *   line, each as soon as it is available. A pass that is sent again (same request, attempt, position and layer range)
+ *   is not run again: its stored or pending result is returned.
  * - `POST /v1/cancel` accepts a {@link CancelOrder} and frees the sequence. Later passes of that attempt are refused.
  * - `GET /v1/status` returns an {@link EngineStatus}. Its load figures are delayed.
  * - `GET /v1/cache-events?after=N` returns `{ "events": CacheEvent[] }`, delayed and with gaps in `sequence`.
  * - `POST /v1/cache/export` accepts `{ request, attempt }` and returns a {@link CacheBlob}.
  *   `POST /v1/cache/import` accepts a {@link CacheBlob}.
- * - `POST /v1/orders` accepts an {@link EngineOrder}. It returns 409 if the engine checks fencing numbers and this one is
- *   outdated.
+ * - `POST /v1/orders` accepts an {@link EngineOrder}. It returns 409 if the engine checks fencing numbers and this one
+ *   is outdated.
  * - `GET /v1/health` immediately returns 200.
  */
 export interface Pass {
@@ -61,7 +61,10 @@
     text?: string;
     /** Whether the token ends the answer. Its text is then empty. */
     end?: boolean;
-    /** Reason of an outcome other than `done`: `leaving`, `memory`, `layers`, `cancelled`, `order` (position out of order), `model`. */
+    /**
+     * Reason of an outcome other than `done`: `leaving`, `memory`, `layers`, `cancelled`, `order` (position out of
+     * order), `model`.
+     */
     reason?: string;
     /** Number of passes in the queue of the engine. */
     queue: number;
--- a/src/connection/endpoint/engineReachability.ts
+++ b/src/connection/endpoint/engineReachability.ts
@@ -14,7 +14,9 @@
 const unreachableMilliseconds = 1_000;
 /** Time for which the engine is treated as in use after its last pass. */
 const inUseMilliseconds = 5_000;
-/** An engine that has not answered for this long is probed with the next pass, whose deadline may not be learned yet. */
+/**
+ * An engine that has not answered for this long is probed with the next pass, whose deadline may not be learned yet.
+ */
 const idleMilliseconds = 2_000;
 
 /** Tracks from this node's own calls if an engine is reachable. At most one probe runs at a time. */
@@ -77,7 +79,8 @@
             return true;
         }
         this.unreachableUntil = this.options.clock.getMonotonicTime() + unreachableMilliseconds;
-        // If the probe was refused, the connections of passes in flight fail too, and each error shows if the pass was sent.
+        // If the probe was refused, the connections of passes in flight fail too, and each error shows if the pass was
+        // sent.
         if (outcome === "silent") {
             this.options.onSilent();
         }
--- a/src/connection/endpoint/hopDeadline.ts
+++ b/src/connection/endpoint/hopDeadline.ts
@@ -1,4 +1,4 @@
-/** Lower limit, so that a garbage collection pause on either side doesn't exceed the deadline. */
+/** Lower limit of deadlines, so that a garbage collection pause on either side doesn't exceed the deadline. */
 const minimumDeadlineMilliseconds = 150;
 const maximumDeadlineMilliseconds = 10_000;
 /** A probe opens a connection and makes a small call: two round trips and no engine step. */
@@ -66,7 +66,9 @@
         return Math.min(maximumDeadlineMilliseconds, Math.max(minimumDeadlineMilliseconds, deadlineMilliseconds));
     }
 
-    /** Gets the timeout of a probe over a new connection, in whole milliseconds. It grows with the latency of the link. */
+    /**
+     * Gets the timeout of a probe over a new connection, in whole milliseconds. It grows with the latency of the link.
+     */
     getProbeTimeout(): number {
         const timeoutMilliseconds = Math.ceil(probeFactor * this.getDeadline(1));
         return Math.min(maximumProbeMilliseconds, Math.max(minimumProbeMilliseconds, timeoutMilliseconds));
--- a/src/connection/endpoint/prefillWindow.ts
+++ b/src/connection/endpoint/prefillWindow.ts
@@ -4,9 +4,9 @@
  * Limits the number of positions of prefill passes (prompts and rebuilt contexts) that are in flight to one engine, as
  * chunked prefill does inside an engine.
  *
- * When many contexts are rebuilt at once, the first ones can then continue at the next stage while the others run, tokens
- * of other streams wait for a short step instead of a long one, and passes don't exceed their deadlines only because of
- * other passes that this node sent before.
+ * When many contexts are rebuilt at once, the first ones can then continue at the next stage while the others run,
+ * tokens of other streams wait for a short step instead of a long one, and passes don't exceed their deadlines only
+ * because of other passes that this node sent before.
  */
 export class PrefillWindow {
     private readonly maximumPositions: number;
@@ -18,12 +18,18 @@
         this.maximumPositions = maximumPositions;
     }
 
-    /** @param maximumPositions - Maximum number of positions in flight. A longer pass is sent when no other is in flight. */
+    /**
+     * @param maximumPositions - Maximum number of positions in flight. A longer pass is sent when no other is in
+     * flight.
+     */
     static create(maximumPositions: number): PrefillWindow {
         return new PrefillWindow(maximumPositions);
     }
 
-    /** Queues a prefill pass. Rebuilt contexts precede new prompts, because their callers have received part of the answer. */
+    /**
+     * Queues a prefill pass. Rebuilt contexts precede new prompts, because their callers have received part of the
+     * answer.
+     */
     add(pendingPass: WaitingPass): void {
         const firstPrompt = pendingPass.pass.rebuild === true
             ? this.queued.findIndex(other => other.pass.rebuild !== true)
--- a/src/connection/peer/framed/createFramedTransport.ts
+++ b/src/connection/peer/framed/createFramedTransport.ts
@@ -7,8 +7,8 @@
 const noHeaders = new Headers();
 
 /**
- * Creates a client transport that uses a framed connection. For short messages between nodes, HTTP/2 would cost several times
- * as much as the message itself.
+ * Creates a client transport that uses a framed connection. For short messages between nodes, HTTP/2 would cost several
+ * times as much as the message itself.
  */
 export function createFramedTransport(connection: FramedConnection): Transport {
     return {
--- a/src/connection/peer/framed/frameLayout.ts
+++ b/src/connection/peer/framed/frameLayout.ts
@@ -1,6 +1,6 @@
 /**
- * Offsets and sizes of the fields of a frame. A frame consists of its length (which doesn't count the length field), the call
- * ID, the kind, the length of the method name, the method name and the payload.
+ * Offsets and sizes of the fields of a frame. A frame consists of its length (which doesn't count the length field),
+ * the call ID, the kind, the length of the method name, the method name and the payload.
  */
 export const frameLayout = {
     lengthBytes: 4,
--- a/src/connection/peer/framed/frameReader.ts
+++ b/src/connection/peer/framed/frameReader.ts
@@ -20,7 +20,8 @@
 
     /**
      * Adds received bytes.
-     * @returns The frames that are complete now, or an error. After an error, the connection can't be parsed any further.
+     * @returns The frames that are complete now, or an error. After an error, the connection can't be parsed any
+     * further.
      */
     push(chunk: Buffer): Result<Frame[], string> {
         this.chunks.push(chunk);
@@ -44,7 +45,10 @@
         return isTooLong ? Err("A frame exceeds the maximum size.") : Ok(frames);
     }
 
-    /** Gets the size of the next frame including its length field, or undefined if that has not been received completely. */
+    /**
+     * Gets the size of the next frame including its length field, or undefined if that has not been received
+     * completely.
+     */
     private getNextSize(): number | undefined {
         if (this.bufferedBytes < frameLayout.lengthBytes) {
             return undefined;
--- a/src/connection/peer/framed/framedServer.ts
+++ b/src/connection/peer/framed/framedServer.ts
@@ -79,7 +79,7 @@
         const reader = FrameReader.create();
         this.sockets.add(socket);
         socket.once("close", () => this.sockets.delete(socket));
-        // Errors need no handling: the caller is gone, so its calls need no answer.
+        // The caller has disconnected, so its calls need no answers.
         socket.on("error", () => socket.destroy());
         socket.setTimeout(idleTimeoutMilliseconds, () => socket.destroy());
         socket.on("data", (chunk: Buffer) => {
--- a/src/connection/peer/peerConnections.ts
+++ b/src/connection/peer/peerConnections.ts
@@ -54,8 +54,8 @@
 }
 
 /**
- * Calls peers by address over shared connections. A connection may be dead if a call on it exceeded its deadline, so the next
- * call uses a new one.
+ * Calls peers by address over shared connections. A connection may be dead if a call on it exceeded its deadline, so
+ * the next call uses a new one.
  */
 export class PeerConnections {
     private readonly options: PeerConnectionsOptions;
@@ -66,7 +66,7 @@
         this.options = options;
     }
 
-    /** Creates the calls without open connections. */
+    /** Creates a client without open connections. */
     static create(options: PeerConnectionsOptions): PeerConnections {
         return new PeerConnections(options);
     }
--- a/src/connection/peer/toPeerError.ts
+++ b/src/connection/peer/toPeerError.ts
@@ -26,7 +26,7 @@
             return {
                 kind: PeerErrorKind.Unreachable,
                 message:
-                    `Peer ${address} could not be reached (${error.rawMessage}); check that it runs and that the address is correct.`,
+                    `Peer ${address} could not be reached (${error.rawMessage}); check that it runs at this address.`,
             };
         default:
             return {
--- a/src/connection/upstream/upstreamConnection.ts
+++ b/src/connection/upstream/upstreamConnection.ts
@@ -13,8 +13,8 @@
     address: string;
     connectTimeoutMilliseconds: number;
     /**
-     * Delays the first request until all input that arrived while the connection opened is read, since that input may abort
-     * the request.
+     * Delays the first request until all input that arrived while the connection opened is read, since that input may
+     * abort the request.
      */
     barrier: Pick<InputBarrier, "pass">;
     /** Called when the connection is idle again. */
@@ -25,7 +25,10 @@
 
 /** Maximum time for which an idle connection is kept. The endpoint may announce a shorter one. */
 const keepAliveMilliseconds = 60_000;
-/** An idle connection is closed this long before the endpoint would close it, so that no request is sent while it closes. */
+/**
+ * An idle connection is closed this long before the endpoint would close it, so that no request is sent while it
+ * closes.
+ */
 const keepAliveMarginMilliseconds = 600;
 
 /** An HTTP/1.1 connection to an endpoint, with at most one exchange at a time. */
@@ -122,7 +125,8 @@
                 }
             },
             onResponseEnd: () => {
-                // The HTTP client handles a reset as the end of a response without a length, but such a response is incomplete.
+                // The HTTP client handles a reset as the end of a response without a length, but such a response is
+                // incomplete.
                 if (endsWithConnection && this.hasSocketFailed) {
                     fail("The connection was reset before the end of a response without a length.");
                     return;
--- a/src/connection/upstream/upstreamExchange.ts
+++ b/src/connection/upstream/upstreamExchange.ts
@@ -3,8 +3,8 @@
     /** Aborts the exchange and closes its connection. The listener is not called any more. */
     abort(): void;
     /**
-     * Gets the monotonic time in milliseconds from which bytes of the request may have been sent, or undefined if none were.
-     * An exchange that is aborted before this time is never sent.
+     * Gets the monotonic time in milliseconds from which bytes of the request may have been sent, or undefined if none
+     * were. An exchange that is aborted before this time is never sent.
      */
     getSentTime(): number | undefined;
 }
--- a/src/connection/upstream/upstreamPool.ts
+++ b/src/connection/upstream/upstreamPool.ts
@@ -8,15 +8,15 @@
 interface UpstreamPoolOptions {
     /** host:port of the endpoint. */
     address: string;
-    /** Delays requests that may have been cancelled until all input that has already arrived at the node is read. */
+    /** Delays requests until all input that has already arrived at the node is read, since it may abort them. */
     barrier: Pick<InputBarrier, "pass">;
     /** Called for each new connection. */
     onOpened(): void;
 }
 
 /**
- * Two round trips between data centres and the accepting of the connection take a few milliseconds. The rest allows for the
- * retransmission of a lost packet.
+ * Two round trips between data centres and the acceptance of the connection take a few milliseconds. The rest allows
+ * for the retransmission of a lost packet.
  */
 const connectTimeoutMilliseconds = 700;
 
@@ -51,12 +51,12 @@
     }
 
     /**
-     * Sends a caller's request once all input that has already arrived at the node is read, unless it is aborted by then,
-     * for example because the caller has disconnected.
+     * Sends a caller's request once all input that has already arrived at the node is read, unless it is aborted by
+     * then, for example because the caller has disconnected.
      * @param createRequest - Creates the request when it is sent.
      * @param listener - Receives the response or the failure.
-     * @param maximumIdleMilliseconds - Connections that were idle for longer are not used. Requests that can't be retried
-     * use a short time, because an idle connection may be dead without the node noticing.
+     * @param maximumIdleMilliseconds - Connections that were idle for longer are not used. Requests that can't be
+     * retried use a short time, because an idle connection may be dead without the node noticing.
      */
     sendForCaller(
         createRequest: () => UpstreamRequest,
--- a/tests/connection/caller/answerWriter.test.ts
+++ b/tests/connection/caller/answerWriter.test.ts
@@ -80,7 +80,7 @@
 
     it("handles a caller that has disconnected", async () => {
         let settle: (writer: AnswerWriter) => void = () => undefined;
-        const gone = new Promise<AnswerWriter>(resolve => {
+        const disconnected = new Promise<AnswerWriter>(resolve => {
             settle = resolve;
         });
         const address = await serve((writer, response) => {
@@ -92,7 +92,7 @@
         caller.write("GET / HTTP/1.1\r\nhost: x\r\n\r\n");
         await caller.waitFor("data: a");
         caller.socket.destroy();
-        const writer = await gone;
+        const writer = await disconnected;
         writer.writeText("b");
         writer.sendError(RequestError.cancelled());
         await writer.waitUntilTaken(new AbortController().signal);
--- a/tests/connection/caller/hostileCallers.test.ts
+++ b/tests/connection/caller/hostileCallers.test.ts
@@ -99,8 +99,8 @@
         const many = Array.from({ length: 2_500 }, () => "a: b");
         const caller = await RawCaller.connect(fixture.address);
         const body = NodeFixture.createChatBody();
-        const mark = ["x-foxlead-idempotent: false", `content-length: ${body.length}`, "connection: close"];
-        caller.write(createHead([...many, ...mark]) + body);
+        const headers = ["x-foxlead-idempotent: false", `content-length: ${body.length}`, "connection: close"];
+        caller.write(createHead([...many, ...headers]) + body);
         const received = await caller.readToEnd();
         assert.deepEqual(parseRawError(received), { status: 400, code: "idempotency_key_missing" });
         assert.equal(fixture.countRuns(), runs);
--- a/tests/connection/caller/lateCallers.test.ts
+++ b/tests/connection/caller/lateCallers.test.ts
@@ -8,8 +8,8 @@
 
 const key = "key";
 
-// Guards against starting requests whose callers disconnected while the event loop was blocked: the loop then reads a request
-// and the close of its connection together.
+// Guards against starting requests whose callers disconnected while the event loop was blocked: the loop then reads a
+// request and the close of its connection together.
 describe("requests whose callers disconnected before they were read", () => {
     it("are not started", async () => {
         let started = 0;
--- a/tests/connection/endpoint/engineConnection.test.ts
+++ b/tests/connection/endpoint/engineConnection.test.ts
@@ -47,7 +47,7 @@
         return positions;
     }
 
-    it("returns to each pass of a batch its own result", async () => {
+    it("returns its own result to each pass of a batch", async () => {
         const requests = ["r1", "r2", "r3"];
         const results = await Promise.all(requests.map(request => connection.runPass({ ...pass, request }, 3)));
         for (const [index, result] of results.entries()) {
--- a/tests/connection/peer/framed/framedCalls.test.ts
+++ b/tests/connection/peer/framed/framedCalls.test.ts
@@ -66,7 +66,7 @@
         }
     }
 
-    it("returns to each call its own answer, even for concurrent calls and an answer of one megabyte", async () => {
+    it("returns its own answer to each call, including concurrent calls and large answers", async () => {
         const sizes = [1, 1_000_000, 7, 70_000, 3];
         const answers = await Promise.all(sizes.map(size => ask(size)));
         assert.deepEqual(answers.map(answer => answer.changes!.records[0]!.text.length), sizes);
--- a/tests/connection/peer/peerConnections.test.ts
+++ b/tests/connection/peer/peerConnections.test.ts
@@ -58,8 +58,8 @@
         return PeerConnections.create({ secret: ownSecret, log, timeoutMilliseconds: 300, maximumCallsPerPeer: 2 });
     }
 
-    async function getKind(of: PeerConnections, address: string): Promise<string | undefined> {
-        const result = await of.getConfiguration(address, request);
+    async function getKind(source: PeerConnections, address: string): Promise<string | undefined> {
+        const result = await source.getConfiguration(address, request);
         return result.ok ? undefined : result.val.kind;
     }
 
--- a/tests/connection/upstream/upstreamPool.test.ts
+++ b/tests/connection/upstream/upstreamPool.test.ts
@@ -68,7 +68,7 @@
         assert.deepEqual([arrivals, exchange.getSentTime(), pool.getSize()], [0, undefined, 0]);
     });
 
-    it("doesn't send a request that is aborted after its connection has opened, but before the pending input is read", async () => {
+    it("doesn't send a request that is aborted after its connection opens, before pending input is read", async () => {
         const exchange = pool.sendForCaller(() => request, listener);
         runDeferredActions();
         await waitUntil("the connection is open", () => deferredActions.size > 0);
