--- a/tests/library/library.test.ts
+++ b/tests/library/library.test.ts
@@ -45,7 +45,7 @@
         doTest("fencedLease", ["Before: not sent.", "Held: sent.", "After: not sent."]);
     });
 
-    it("views the members and moves the keys of those that go", () => {
+    it("tracks the members and reassigns the keys of dead ones", () => {
         doTest("membershipView", [
             "2 members; the owner of shard-3 is known: true.",
             "After a miss 7002 is suspect.",
--- a/tests/platform/createAnswerSink.test.ts
+++ b/tests/platform/createAnswerSink.test.ts
@@ -6,7 +6,7 @@
 import type { AnswerHead } from "../../src/request/relay/answerHead.ts";
 import type { AnswerSink } from "../../src/request/relay/answerSink.ts";
 
-/** Sends requests at once over one connection and answers them by a function. Returns all bytes that come back. */
+/** Sends pipelined requests over one connection, answers them with a function and returns all bytes received. */
 async function exchange(paths: string[], answer: (sinks: AnswerSink[]) => void, version = "1.1"): Promise<string> {
     const sinks: AnswerSink[] = [];
     const server = createServer((request, response: ServerResponse) => {
@@ -39,7 +39,7 @@
     };
 }
 
-/** Writes an answer of two parts, of which one has a length of two hexadecimal digits. */
+/** Writes a response of two chunks; the length of the second one has two hexadecimal digits. */
 function stream(sink: AnswerSink, text: string): void {
     sink.writeHead(createHead());
     sink.write(Buffer.from(text));
@@ -48,13 +48,13 @@
 }
 
 describe("createAnswerSink", () => {
-    it("writes each part of a stream as a chunk, and the end after the last one", async () => {
+    it("writes each part of a stream as a chunk, followed by the last chunk", async () => {
         const received = await exchange(["/only"], ([sink]) => stream(sink!, "ab"));
         const [, body] = received.split("\r\n\r\n", 1).length === 1 ? received.split(/\r\n\r\n(.*)/s) : [];
         assert.equal(body, `2\r\nab\r\n14\r\n${"ab".repeat(10)}\r\n0\r\n\r\n`);
     });
 
-    it("keeps an answer back until those before it on the connection have ended", async () => {
+    it("holds a pipelined response back until the ones before it are complete", async () => {
         const received = await exchange(["/first", "/second"], ([first, second]) => {
             stream(second!, "2");
             stream(first!, "1");
@@ -64,7 +64,7 @@
         assert.equal(received.match(/HTTP\/1\.1 200/g)?.length, 2);
     });
 
-    it("leaves an answer with a length, and one for a caller without chunks, unframed", async () => {
+    it("does not use chunks for a response with a length or for an HTTP/1.0 caller", async () => {
         const whole = await exchange(["/only"], ([sink]) => {
             sink!.writeHead(createHead(["Content-Length", "3"]));
             sink!.write(Buffer.from("abc"));
@@ -75,7 +75,7 @@
         assert.ok(old.endsWith(`\r\n\r\n${"ab".repeat(11)}`), old);
     });
 
-    it("never ends an answer that is cut as a complete one", async () => {
+    it("never completes a response that is aborted", async () => {
         const received = await exchange(["/only"], ([sink]) => {
             sink!.writeHead(createHead());
             sink!.write(Buffer.from("ab"));
--- a/tests/platform/decoders.test.ts
+++ b/tests/platform/decoders.test.ts
@@ -31,7 +31,7 @@
 };
 
 describe("The decoders of the platform", () => {
-    it("read the settings and ignore fields that they don't know", () => {
+    it("read the settings and ignore unknown fields", () => {
         const settings = readBootFile(boot).unwrap();
         assert.equal(settings.vm, "edge-1");
         assert.equal(settings.peerListener, "10.1.0.4:3");
@@ -39,7 +39,7 @@
         assert.equal(settings.shutdownMilliseconds, 7_600);
     });
 
-    it("name each faulty field of the settings", () => {
+    it("name each invalid field of the settings", () => {
         const faults = readBootFile(boot.replace('"10.1.0.4:1"', '"nowhere"').replace("grace_s: 8", "grace_s: -1"));
         assert.ok(faults.err);
         assert.match(faults.val.join("\n"), /^listen\.front: .*\nbounds\.grace_s: /);
@@ -66,13 +66,13 @@
         assert.ok(decodeEndpoint("servers/i-1", JSON.stringify({ ...record, state: "draining" })).unwrap().isDraining);
     });
 
-    it("tell two starts of an endpoint under one id apart", () => {
+    it("distinguish restarts of an endpoint under the same id", () => {
         const decode = (born: number) => decodeEndpoint("servers/i-1", JSON.stringify({ ...record, born })).unwrap().id;
         assert.notEqual(decode(1), decode(2));
         assert.equal(decode(2), decode(2));
     });
 
-    it("find a fault in a record of another writer, whatever is missing or of another type", () => {
+    it("reject a record of another program if any field is missing or of the wrong type", () => {
         assert.equal(decodeEndpoint("servers/i-1", JSON.stringify({ ...record, born: undefined })).unwrap().id, "i-1");
         const strange = fc.oneof(
             fc.constant(null),
@@ -94,7 +94,7 @@
         }
     });
 
-    it("answer any bytes with a result, never with an exception", () => {
+    it("return a result for any input and never throw", () => {
         const anyText = fc.oneof(fc.string(), fc.json());
         fc.assert(fc.property(anyText, text => {
             decodeConfiguration(text);
@@ -105,7 +105,7 @@
         }));
     });
 
-    it("take only the stated signs for proof that a request was not run", () => {
+    it("treat a request as not executed only if the response says so", () => {
         const doTest = (status: number, headers: Record<string, string>, isNotRun: boolean) =>
             assert.equal(endpointProtocol.readHead(status, { "request-id": "r", ...headers }, "r").isNotRun, isNotRun);
         doTest(503, { "not-executed": "1" }, true);
@@ -115,7 +115,7 @@
         doTest(200, { "response-seal": "s" }, false);
     });
 
-    it("reads the requests a second that an endpoint takes, and takes nothing else for a limit", () => {
+    it("read the rate limit of an endpoint and ignore invalid values", () => {
         const read = (text?: string) =>
             endpointProtocol.readHead(200, text === undefined ? {} : { "server-limit": text }, "r").requestsPerSecond;
         assert.deepEqual(["2", "3.5", "0"].map(read), [2, 3.5, 0]);
--- a/tests/platform/documentPath.test.ts
+++ b/tests/platform/documentPath.test.ts
@@ -4,17 +4,17 @@
 import { RouterBench, type StartedNode } from "./routerBench.ts";
 
 describe("A document request on the platform", () => {
-    let bench: RouterBench;
+    let harness: RouterBench;
     let node: StartedNode;
     let first: EndpointStandin;
     let second: EndpointStandin;
 
     before(async () => {
-        bench = await RouterBench.create();
-        first = await bench.addEndpoint("first", "documents");
-        second = await bench.addEndpoint("second", "documents");
-        node = await bench.addNode();
-        await bench.waitForEndpoints(node, 2);
+        harness = await RouterBench.create();
+        first = await harness.addEndpoint("first", "documents");
+        second = await harness.addEndpoint("second", "documents");
+        node = await harness.addNode();
+        await harness.waitForEndpoints(node, 2);
     });
 
     beforeEach(() => {
@@ -24,7 +24,7 @@
         }
     });
 
-    after(() => bench.close());
+    after(() => harness.close());
 
     const countRuns = () => first.runs.length + second.runs.length;
 
@@ -37,7 +37,7 @@
             connection: "x-dropped",
             "x-dropped": "1",
         };
-        const answer = await bench.send(node, path, { headers, body: "the body" });
+        const answer = await harness.send(node, path, { headers, body: "the body" });
         assert.equal(answer.status, 200);
         assert.match(answer.headers["response-seal"] as string, /^seal-/);
         const [run] = [...first.runs, ...second.runs];
@@ -51,30 +51,30 @@
         assert.ok(Number(run?.headers["request-deadline-ms"]) <= 3_000);
     });
 
-    it("is refused without a route or a known key, and runs nowhere", async () => {
-        assert.equal((await bench.send(node, "/none/")).status, 404);
-        assert.equal((await bench.send(node, "/safe/", { headers: { authorization: "Bearer other" } })).status, 401);
+    it("is rejected without a route or a known key, and runs nowhere", async () => {
+        assert.equal((await harness.send(node, "/none/")).status, 404);
+        assert.equal((await harness.send(node, "/safe/", { headers: { authorization: "Bearer other" } })).status, 401);
         assert.equal(countRuns(), 0);
     });
 
-    it("goes on to another endpoint where the first one has not run it", async () => {
+    it("is retried at another endpoint if the first one has not run it", async () => {
         first.behaviour = { refuseWith: 503 };
         for (let count = 0; count < 6; count++) {
-            assert.equal((await bench.send(node, "/unsafe/x")).status, 200);
+            assert.equal((await harness.send(node, "/unsafe/x")).status, 200);
         }
         assert.equal(second.runs.length, 6);
     });
 
-    it("is refused as not run where all endpoints say so, with a time to come back", async () => {
+    it("is rejected as not run if all endpoints reject it, with a retry delay", async () => {
         first.behaviour = { refuseWith: 503 };
         second.behaviour = { refuseWith: 429 };
-        const answer = await bench.send(node, "/unsafe/x");
+        const answer = await harness.send(node, "/unsafe/x");
         assert.equal(answer.status, 503);
         assert.ok(Number(answer.headers["retry-after"]) > 0);
         assert.equal(countRuns(), 0);
     });
 
-    it("runs once where it may not be repeated and its answer is lost, and promises nothing", async () => {
+    it("runs once if it is not idempotent and its response is lost, and is answered as unknown", async () => {
         for (
             const fault of [{ losesAnswer: true }, { isUnsigned: true }, { answersWrongRequest: true }, {
                 resetsUnframed: true,
@@ -84,43 +84,43 @@
             second.behaviour = fault;
             first.runs.length = 0;
             second.runs.length = 0;
-            const answer = await bench.send(node, "/unsafe/x");
+            const answer = await harness.send(node, "/unsafe/x");
             assert.equal(answer.status, 502, JSON.stringify(fault));
             assert.equal(countRuns(), 1, JSON.stringify(fault));
         }
     });
 
-    it("is sent to another endpoint where it may be repeated and the first answer is lost", async () => {
+    it("is retried at another endpoint if it is idempotent and the first response is lost", async () => {
         first.behaviour = { losesAnswer: true };
         for (let count = 0; count < 4; count++) {
-            const answer = await bench.send(node, "/safe/x", { method: "GET" });
+            const answer = await harness.send(node, "/safe/x", { method: "GET" });
             assert.equal(answer.status, 200);
             assert.equal(answer.body, "answer of second");
         }
     });
 
-    it("passes an endpoint's own failure on unchanged where it may not be repeated", async () => {
+    it("returns an endpoint's error response unchanged if it is not idempotent", async () => {
         first.behaviour = { failWith: 500 };
         second.behaviour = { failWith: 500 };
-        const answer = await bench.send(node, "/unsafe/x");
+        const answer = await harness.send(node, "/unsafe/x");
         assert.equal(answer.status, 500);
         assert.match(answer.headers["response-seal"] as string, /^seal-/);
     });
 
-    it("is answered when the route's time is over", async () => {
+    it("is answered when the route's timeout has passed", async () => {
         first.behaviour = { delayMilliseconds: 10_000 };
         second.behaviour = { delayMilliseconds: 10_000 };
         const startedAt = performance.now();
-        const answer = await bench.send(node, "/unsafe/x");
+        const answer = await harness.send(node, "/unsafe/x");
         assert.equal(answer.status, 504);
         assert.ok(performance.now() - startedAt < 3_500);
     });
 
-    it("ends at its endpoint soon after its caller has gone", async () => {
+    it("is cancelled at its endpoint soon after its caller disconnects", async () => {
         first.behaviour = { delayMilliseconds: 2_000 };
         second.behaviour = { delayMilliseconds: 2_000 };
         const controller = new AbortController();
-        const sending = bench.send(node, "/unsafe/x", { signal: controller.signal }).catch(() => undefined);
+        const sending = harness.send(node, "/unsafe/x", { signal: controller.signal }).catch(() => undefined);
         await new Promise(resolve => setTimeout(resolve, 200));
         controller.abort();
         await sending;
@@ -128,18 +128,18 @@
         assert.deepEqual([...first.runs, ...second.runs].map(run => run.isAbandoned), [true]);
     });
 
-    it("never meets the bytes that an endpoint sent after an earlier answer", async () => {
+    it("never receives bytes that an endpoint sent after an earlier response", async () => {
         first.behaviour = { sendsExtra: true };
         second.behaviour = { sendsExtra: true };
         for (let count = 0; count < 8; count++) {
-            const answer = await bench.send(node, "/safe/x", { method: "GET" });
+            const answer = await harness.send(node, "/safe/x", { method: "GET" });
             assert.equal(answer.status, 200);
             assert.match(answer.body, /^answer of/);
         }
     });
 
-    it("that is two in one is refused as a whole", async () => {
-        const answer = await bench.send(node, "/unsafe/x", {
+    it("with conflicting lengths (request smuggling) is rejected as a whole", async () => {
+        const answer = await harness.send(node, "/unsafe/x", {
             headers: { "content-length": "4", "transfer-encoding": "chunked" },
             body: "0\r\n\r\nPOST /unsafe/y HTTP/1.1\r\nHost: one.example\r\n\r\n",
         }).catch(() => undefined);
--- a/tests/platform/earlyAnswers.test.ts
+++ b/tests/platform/earlyAnswers.test.ts
@@ -10,9 +10,9 @@
 const pauseMilliseconds = 300;
 const answer = "early";
 
-/** An endpoint that answers as soon as it has a request's head, and reads the rest of the body later. */
+/** An endpoint that responds as soon as it has the head of a request, and reads the rest of the body later. */
 class EarlyEndpoint {
-    /** What came on each connection. */
+    /** Data received on each connection. */
     readonly received: string[] = [];
     private readonly server: Server;
     private readonly sockets: Socket[] = [];
@@ -58,30 +58,30 @@
     }
 }
 
-describe("Answers that come before a long body is read", () => {
-    let bench: RouterBench;
+describe("Responses that arrive before a long body is read", () => {
+    let harness: RouterBench;
     let node: StartedNode;
     let endpoint: EarlyEndpoint;
 
     before(async () => {
-        bench = await RouterBench.create();
+        harness = await RouterBench.create();
         endpoint = await EarlyEndpoint.create();
         const record = createEndpointRecord({ service: "documents", address: endpoint.getAddress() });
-        bench.store.put("servers/early", record);
-        node = await bench.addNode();
-        await bench.waitForEndpoints(node, 1);
+        harness.store.put("servers/early", record);
+        node = await harness.addNode();
+        await harness.waitForEndpoints(node, 1);
     });
 
     after(async () => {
-        await bench.close();
+        await harness.close();
         endpoint.close();
     });
 
-    it("reach the caller, and nothing but the rest of that body follows on the connection", async () => {
+    it("reach the caller, and only the rest of that body follows on the connection", async () => {
         const body = "b".repeat(bodyLength);
-        const first = await bench.send(node, "/unsafe/first", { body });
+        const first = await harness.send(node, "/unsafe/first", { body });
         assert.deepEqual([first.status, first.body], [200, answer]);
-        const second = await bench.send(node, "/unsafe/second", { body: "c".repeat(100) });
+        const second = await harness.send(node, "/unsafe/second", { body: "c".repeat(100) });
         assert.equal(second.status, 200);
         await waitUntil("the bodies have come", () => endpoint.received.join("").includes("c".repeat(100)));
         for (const text of endpoint.received) {
@@ -95,7 +95,7 @@
     });
 });
 
-/** Splits what came on a connection into requests, each with its head and its body. */
+/** Splits the data of a connection into requests, each with its head and its body. */
 function splitRequests(text: string): [string, string][] {
     return text.split(/(?=POST )/).map(part => {
         const end = part.indexOf("\r\n\r\n");
--- a/tests/platform/lateNode.test.ts
+++ b/tests/platform/lateNode.test.ts
@@ -7,39 +7,39 @@
 
 const count = 20;
 
-// Callers gave a node up that had been busy with itself for a second, and it sent their requests on all the same: request and close lay
-// together in the connection, and the request was sent before the close was read.
-describe("Requests whose callers left while the node was late", () => {
-    let bench: RouterBench;
+// Guards against forwarding requests whose callers have disconnected. When the event loop of a node is blocked, a request and the end
+// of its connection arrive together, and the request was forwarded before the end was read.
+describe("Requests whose callers disconnected while the node was blocked", () => {
+    let harness: RouterBench;
     let node: StartedNode;
     let endpoints: EndpointStandin[];
 
     before(async () => {
-        bench = await RouterBench.create();
+        harness = await RouterBench.create();
         endpoints = [
-            await bench.addEndpoint("d1", "documents"),
-            await bench.addEndpoint("a1", "model", { from: 0, to: 4 }),
-            await bench.addEndpoint("b1", "model", { from: 4, to: 8 }),
+            await harness.addEndpoint("d1", "documents"),
+            await harness.addEndpoint("a1", "model", { from: 0, to: 4 }),
+            await harness.addEndpoint("b1", "model", { from: 4, to: 8 }),
         ];
         const columns = [{ layers: { start: 0, end: 4 }, kind: "big" }, { layers: { start: 4, end: 8 }, kind: "big" }];
-        bench.store.put("foxlead/placement/model", { service: "model", modelName: "m", layers: 8, columns });
-        node = await bench.addNode();
-        await bench.waitForEndpoints(node, 3);
+        harness.store.put("foxlead/placement/model", { service: "model", modelName: "m", layers: 8, columns });
+        node = await harness.addNode();
+        await harness.waitForEndpoints(node, 3);
     });
 
-    after(() => bench.close());
+    after(() => harness.close());
 
-    async function countSentOn(path: string, keepsConnections: boolean): Promise<number> {
+    async function countForwarded(path: string, keepsConnections: boolean): Promise<number> {
         await leaveWhileBusy({ address: node.address, key: callerKey, path, count, keepsConnections });
-        const isLeft = ({ id }: { id: string; }) => id.startsWith("left-");
-        return endpoints.reduce((sum, { runs }) => sum + runs.splice(0).filter(isLeft).length, 0);
+        const isAbandoned = ({ id }: { id: string; }) => id.startsWith("left-");
+        return endpoints.reduce((sum, { runs }) => sum + runs.splice(0).filter(isAbandoned).length, 0);
     }
 
-    it("go to no endpoint", async () => {
+    it("are not forwarded to any endpoint", async () => {
         const sentOn: Record<string, number> = {};
         for (const path of ["/model/x", "/once/x", "/safe/x", "/unsafe/x"]) {
-            sentOn[`${path} new`] = await countSentOn(path, false);
-            sentOn[`${path} kept`] = await countSentOn(path, true);
+            sentOn[`${path} new`] = await countForwarded(path, false);
+            sentOn[`${path} kept`] = await countForwarded(path, true);
         }
         assert.deepEqual(Object.entries(sentOn).filter(([, sent]) => sent > 0), []);
     });
--- a/tests/platform/platformChanges.test.ts
+++ b/tests/platform/platformChanges.test.ts
@@ -7,78 +7,78 @@
 import { RouterBench, type StartedNode } from "./routerBench.ts";
 
 describe("Changes on the platform", () => {
-    let bench: RouterBench;
+    let harness: RouterBench;
     let refused: KeyValueStandin;
     let node: StartedNode;
     let other: StartedNode;
 
     before(async () => {
-        bench = await RouterBench.create();
+        harness = await RouterBench.create();
         refused = await KeyValueStandin.create();
         refused.faults = { refuseWith: 503 };
-        await bench.addEndpoint("first", "documents");
-        await bench.addEndpoint("second", "documents");
-        node = await bench.addNode();
-        await bench.waitForEndpoints(node, 2);
-        other = await bench.addNode(refused.getAddress());
+        await harness.addEndpoint("first", "documents");
+        await harness.addEndpoint("second", "documents");
+        node = await harness.addNode();
+        await harness.waitForEndpoints(node, 2);
+        other = await harness.addNode(refused.getAddress());
     });
 
     after(async () => {
-        await bench.close();
+        await harness.close();
         await refused.close();
     });
 
     const getVersion = (started: StartedNode) => started.node.getRouting()?.configuration.version;
 
-    it("reach a node that the store refuses, through its peers", async () => {
-        await bench.waitForEndpoints(other, 2);
+    it("reach a node that the store rejects, through its peers", async () => {
+        await harness.waitForEndpoints(other, 2);
         assert.equal(getVersion(other), 1);
-        bench.store.put("op/config", createConfiguration(4, { tenants: [{ name: "first", api_keys: ["new"] }] }));
+        harness.store.put("op/config", createConfiguration(4, { tenants: [{ name: "first", api_keys: ["new"] }] }));
         await waitUntil("the version is in force there", () => getVersion(other) === 4);
-        assert.equal((await bench.send(other, "/safe/x")).status, 401);
+        assert.equal((await harness.send(other, "/safe/x")).status, 401);
     });
 
     it("never go back to an older version", async () => {
-        bench.store.put("op/config", createConfiguration(3));
-        bench.store.put("op/config", createConfiguration(5));
+        harness.store.put("op/config", createConfiguration(3));
+        harness.store.put("op/config", createConfiguration(5));
         await waitUntil("the newest is in force", () => getVersion(other) === 5 && getVersion(node) === 5);
-        bench.store.put("op/config", createConfiguration(2));
+        harness.store.put("op/config", createConfiguration(2));
         await new Promise(resolve => setTimeout(resolve, 300));
         assert.equal(getVersion(node), 5);
     });
 
-    it("take an endpoint out that leaves or is gone, at both nodes", async () => {
-        bench.register("first", "documents", undefined, "draining");
-        bench.store.remove("servers/second");
+    it("remove an endpoint that drains or is deleted, at both nodes", async () => {
+        harness.register("first", "documents", undefined, "draining");
+        harness.store.remove("servers/second");
         const getUsable = (started: StartedNode) =>
             (started.node.getStatus() as { endpoints: { isDraining: boolean; }[]; }).endpoints
                 .filter(endpoint => !endpoint.isDraining).length;
         await waitUntil("none is left", () => getUsable(node) === 0 && getUsable(other) === 0);
-        const answer = await bench.send(other, "/safe/x");
+        const answer = await harness.send(other, "/safe/x");
         assert.equal(answer.status, 503);
-        bench.register("first", "documents");
+        harness.register("first", "documents");
         await waitUntil("one is back", () => getUsable(other) === 1);
     });
 
-    it("are all there after the store has lost its history", async () => {
-        bench.store.put("op/config", createConfiguration(8));
-        bench.store.compact();
-        bench.store.put("op/config", createConfiguration(9));
+    it("are all applied after the store has lost its history", async () => {
+        harness.store.put("op/config", createConfiguration(8));
+        harness.store.compact();
+        harness.store.put("op/config", createConfiguration(9));
         await waitUntil("the newest is in force", () => getVersion(node) === 9);
     });
 
-    it("are answered with 503 by a node that knows of no configuration", async () => {
-        const lonely = await RouterBench.create();
-        lonely.store.faults = { refuseWith: 503 };
-        const started = await lonely.addNode();
-        const answer = await lonely.send(started, "/safe/x");
+    it("are missing at a node without a configuration, which responds with 503", async () => {
+        const isolated = await RouterBench.create();
+        isolated.store.faults = { refuseWith: 503 };
+        const started = await isolated.addNode();
+        const answer = await isolated.send(started, "/safe/x");
         assert.equal(answer.status, 503);
         assert.ok(Number(answer.headers["retry-after"]) > 0);
         assert.equal(started.node.isReady(), false);
-        await lonely.close();
+        await isolated.close();
     });
 
-    it("place the layers on empty endpoints once, under a fencing number", async () => {
+    it("place the layers on empty endpoints once, with a fencing number", async () => {
         const placing = await RouterBench.create();
         for (const id of ["e1", "e2", "e3", "e4"]) {
             await placing.addEndpoint(id, "model");
@@ -97,7 +97,7 @@
         await placing.close();
     });
 
-    it("leave the duty of placement to nobody while there is no order to give", async () => {
+    it("leave the placement lease unclaimed while there are no orders to give", async () => {
         const idle = await RouterBench.create();
         const { node: alone } = await idle.addNode();
         await waitUntil("it is ready", () => alone.isReady());
@@ -107,32 +107,32 @@
         await idle.close();
     });
 
-    it("pass the duty of placement on within two seconds of a stop", async () => {
+    it("hand the placement lease over within two seconds of a stop", async () => {
         const pair = await RouterBench.create();
-        // The duty is held while there is an order to give; endpoints that answer none keep it due.
+        // The lease is held while there are orders to give. These endpoints respond to none, so the orders stay pending.
         for (const port of [1, 2]) {
             const address = `127.0.0.1:${port}`;
             pair.store.put(`servers/e${port}`, createEndpointRecord({ service: "model", address, layers: null }));
         }
-        const hasDuty = ({ node: other }: StartedNode) =>
+        const hasLease = ({ node: other }: StartedNode) =>
             (other.getStatus() as { hasPlacementDuty: boolean; }).hasPlacementDuty;
         const first = await pair.addNode();
-        await waitUntil("the first has the duty", () => hasDuty(first));
+        await waitUntil("the first holds the lease", () => hasLease(first));
         const second = await pair.addNode();
         await waitUntil(
             "they know each other",
             () => (second.node.getStatus() as { peers: object[]; }).peers.length === 1,
         );
-        // The successor takes up its duties and looks at the lease first, from which it would otherwise count the whole time.
+        // Lets the successor read the lease before the stop; otherwise it would wait for the whole time to live from its first read.
         await new Promise(resolve => setTimeout(resolve, 2_000));
         const stoppedAt = Date.now();
         await first.node.startDraining();
-        await waitUntil("the second has the duty", () => hasDuty(second));
+        await waitUntil("the second holds the lease", () => hasLease(second));
         assert.ok(Date.now() - stoppedAt < 2_000, `It took ${Date.now() - stoppedAt} ms.`);
         await pair.close();
     });
 
-    it("place the layers also where the store loses the answers to its writes", async () => {
+    it("place the layers even if the store loses the responses to writes", async () => {
         const placing = await RouterBench.create();
         await placing.addEndpoint("e1", "model");
         await placing.addEndpoint("e2", "model");
--- a/tests/platform/platformProcess.test.ts
+++ b/tests/platform/platformProcess.test.ts
@@ -79,7 +79,7 @@
         });
     }
 
-    it("serves metrics, and goes on when its settings are read again", async () => {
+    it("serves metrics and keeps running when its settings are reloaded", async () => {
         const metrics = await (await fetch(`http://127.0.0.1:${ports[3]}/metrics`)).text();
         assert.match(metrics, /foxlead_configuration_version 1/);
         child.kill("SIGHUP");
@@ -90,7 +90,7 @@
         assert.equal(await getReadiness(), 200);
     });
 
-    it("finishes at SIGTERM what it has taken, also what comes until the balancer knows, and ends with 0", async () => {
+    it("completes requests that arrive before and shortly after SIGTERM, and exits with 0", async () => {
         endpoint.behaviour = { delayMilliseconds: 1_000 };
         const taken = call("before");
         await new Promise(resolve => setTimeout(resolve, 200));
--- a/tests/platform/platformWords.test.ts
+++ b/tests/platform/platformWords.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import { headerNames } from "../../platform/headerNames.ts";
 
-/** Names of the platform that no other name of the product resembles. */
+/** Names defined by the platform that can't be confused with names of this project. */
 const platformNames = [
     "op/config",
     "servers/",
@@ -20,12 +20,12 @@
     "queue_wait",
     "repath",
 ];
-/** Headers that the product's own interfaces have too, alone or as a part of another name. */
+/** Headers that this project's own interfaces also use, alone or as part of another name. */
 const sharedHeaders = new Set<string>(["authorization", "retry-after", "last-event-id", "request-id"]);
-const mostLines = 2_000;
+const maximumLines = 2_000;
 
-describe("The platform's folder", () => {
-    it("alone holds the platform's names", () => {
+describe("The platform folder", () => {
+    it("is the only place that contains the platform's names", () => {
         const headers = Object.values(headerNames).filter(name => !sharedHeaders.has(name));
         const forbidden = [...platformNames, ...headers.filter(name => name.includes("-"))];
         const faults: string[] = [];
@@ -45,10 +45,10 @@
         for (const file of globSync("platform/**/*.ts")) {
             lines += readFileSync(file, "utf8").split("\n").length;
         }
-        assert.ok(lines < mostLines, `${lines} lines`);
+        assert.ok(lines < maximumLines, `${lines} lines`);
     });
 
-    it("is imported by nothing but the program's entry point", () => {
+    it("is imported only by the entry point of the program", () => {
         const importers = globSync("src/**/*.ts").filter(file =>
             /from "(\.\.\/)+platform\//.test(readFileSync(file, "utf8"))
         );
@@ -56,7 +56,7 @@
     });
 });
 
-/** `src/process/platform` is the product's own folder of that name. */
+/** Gets if a file is in `src/process`, whose folder `platform` is this project's own. */
 function isOwnPlatformFolder(file: string): boolean {
     return file.startsWith("src/process/");
 }
--- a/tests/platform/routerBench.ts
+++ b/tests/platform/routerBench.ts
@@ -21,16 +21,16 @@
 import { RecordingEventLog } from "../support/recordingEventLog.ts";
 import { waitUntil } from "../support/waitUntil.ts";
 
-/** An answer as a caller sees it. */
+/** A response as a caller receives it. */
 export interface CallerAnswer {
     status: number;
     headers: IncomingHttpHeaders;
     body: string;
-    /** Whether the answer came to its proper end. */
+    /** Whether the response was received completely. */
     isComplete: boolean;
 }
 
-/** A node that listens for callers. */
+/** A running node and its listener for callers. */
 export interface StartedNode {
     node: RouterNode;
     callers: CallerListener;
@@ -40,9 +40,9 @@
     peerAddress: string;
 }
 
-let requests = 0;
+let requestCount = 0;
 
-/** A store, endpoints and nodes of the router, all in this process, on loopback addresses. */
+/** Test harness with a store, endpoints and router nodes, all in this process and on loopback addresses. */
 export class RouterBench {
     readonly store: KeyValueStandin;
     readonly endpoints = new Map<string, EndpointStandin>();
@@ -54,9 +54,9 @@
 
     /** Starts a store with a configuration. */
     static async create(): Promise<RouterBench> {
-        const bench = new RouterBench(await KeyValueStandin.create());
-        bench.store.put("op/config", createConfiguration(1));
-        return bench;
+        const harness = new RouterBench(await KeyValueStandin.create());
+        harness.store.put("op/config", createConfiguration(1));
+        return harness;
     }
 
     /** Starts an endpoint and registers it. */
@@ -75,7 +75,7 @@
         return endpoint;
     }
 
-    /** Writes an endpoint's record. */
+    /** Writes the record of an endpoint to the store. */
     register(id: string, service: string, layers?: { from: number; to: number; }, state?: string): void {
         const endpoint = this.endpoints.get(id)!;
         const address = endpoint.getAddress();
@@ -137,7 +137,7 @@
         return started;
     }
 
-    /** Waits until a node knows the configuration and so many endpoints. */
+    /** Waits until a node knows the configuration and the given number of endpoints. */
     async waitForEndpoints(started: StartedNode, count: number): Promise<void> {
         await waitUntil(
             `${count} endpoints are known`,
@@ -154,10 +154,10 @@
         options: { method?: string; headers?: Record<string, string>; body?: string; signal?: AbortSignal; } = {},
     ): Promise<CallerAnswer> {
         const [host, port] = started.address.split(":");
-        requests += 1;
+        requestCount += 1;
         const headers = {
             host: "one.example",
-            "request-id": `request-${requests}`,
+            "request-id": `request-${requestCount}`,
             "request-deadline-ms": "5000",
             authorization: `Bearer ${callerKey}`,
             ...options.headers,
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Stops everything. */
+    /** Stops the nodes, the endpoints and the store. */
     async close(): Promise<void> {
         await this.stopNodes();
         for (const endpoint of this.endpoints.values()) {
