--- a/src/process/platform/callEffect.ts
+++ b/src/process/platform/callEffect.ts
@@ -1,8 +1,8 @@
-/** What a call may do to the platform's state; it decides what a lost answer means. */
+/** Whether a call may change the platform's state. Determines how a lost response is reported. */
 export const CallEffect = {
-    /** The call changes nothing, so a lost answer leaves nothing in doubt. */
+    /** The call changes nothing, so it is not done if its response is lost. */
     Read: "read",
-    /** The call may have changed something when its answer is lost. */
+    /** The call may have taken effect even if its response is lost. */
     Write: "write",
 } as const;
 export type CallEffect = typeof CallEffect[keyof typeof CallEffect];
--- a/src/process/platform/classifyRefusal.ts
+++ b/src/process/platform/classifyRefusal.ts
@@ -8,26 +8,27 @@
 const firstServerErrorStatus = 500;
 
 /**
- * Makes the typed error of an answer whose status tells of a failure. Statuses from 400 to 499 refuse the call before
- * it takes effect, but for 408; after the others a write may still take effect.
+ * Creates the error for a response with an error status. A status from 400 to 499, except 408, means that the call had no effect;
+ * after any other error a write may still take effect.
  * @param status - HTTP status.
- * @param body - Body of the answer, which may hold a gRPC status.
- * @param effect - What the call may do.
+ * @param body - Body of the response, which may contain a gRPC status.
+ * @param effect - Whether the call may change state.
  */
 export function classifyRefusal(status: number, body: string, effect: CallEffect): PlatformFailure {
-    const failure = parseFailure(body);
+    const failure = parseGrpcStatus(body);
     const reason = `HTTP status ${status}${failure === undefined ? "" : `: ${failure.message}`}`;
     if (status === tooManyRequestsStatus) {
         return {
             kind: PlatformErrorKind.NotDone,
-            message: `The platform's rate limit refused the call (${reason}). Make fewer calls, and try again later.`,
+            message:
+                `The platform's rate limit rejected the call (${reason}). Reduce the call rate and try again later.`,
         };
     }
-    const isRefused = status < firstServerErrorStatus && status !== requestTimeoutStatus;
-    if (effect === CallEffect.Read || isRefused) {
+    const isRejected = status < firstServerErrorStatus && status !== requestTimeoutStatus;
+    if (effect === CallEffect.Read || isRejected) {
         return {
             kind: PlatformErrorKind.NotDone,
-            message: `The platform refused the call (${reason}). Correct the call, or try again later.`,
+            message: `The platform rejected the call (${reason}). Correct the call, or try again later.`,
             grpcCode: failure?.code,
         };
     }
@@ -38,7 +39,7 @@
     };
 }
 
-function parseFailure(body: string): { code: number; message: string; } | undefined {
+function parseGrpcStatus(body: string): { code: number; message: string; } | undefined {
     try {
         return etcdSchemas.failure.safeParse(JSON.parse(body)).data;
     }
--- a/src/process/platform/classifyThrownError.ts
+++ b/src/process/platform/classifyThrownError.ts
@@ -2,10 +2,10 @@
 import { type PlatformError, PlatformErrorKind } from "./platformError.ts";
 
 /**
- * Makes the typed error of an exchange that ended without an answer. A call that failed while its connection was being
- * opened was never sent; any other may have reached the service.
- * @param error - What undici threw.
- * @param effect - What the call may do.
+ * Creates the error for a call that got no response. A call that failed while connecting was never sent; any other call may have
+ * reached the service.
+ * @param error - Error thrown by undici.
+ * @param effect - Whether the call may change state.
  * @param address - Address of the service as `host:port`, for the message.
  */
 export function classifyThrownError(error: unknown, effect: CallEffect, address: string): PlatformError {
@@ -14,13 +14,13 @@
         return {
             kind: PlatformErrorKind.NotDone,
             message:
-                `The platform's service at ${address} gave no answer (${reason}). Try again later; check the address.`,
+                `The platform's service at ${address} did not respond (${reason}). Check the address or try again later.`,
         };
     }
     return {
         kind: PlatformErrorKind.OutcomeUnknown,
         message:
-            `The answer of the platform's service at ${address} was lost (${reason}). Read the state before writing again.`,
+            `The response of the platform's service at ${address} was lost (${reason}). Read the state before writing again.`,
     };
 }
 
--- a/src/process/platform/createCountingStore.ts
+++ b/src/process/platform/createCountingStore.ts
@@ -2,17 +2,17 @@
 import type { PlatformError } from "./platformError.ts";
 import type { PlatformStore } from "./platformStore.ts";
 
-/** Takes one call that has ended. */
+/** Called when a call has ended. */
 type OnStoreCall = (call: string, outcome: string) => void;
 
 /**
- * Creates a store that passes every call on and counts it.
- * @param store - The store that does the work.
- * @param onCall - Takes the method's name and how the call ended: `ok`, `notDone`, `outcomeUnknown` or `opened`.
+ * Creates a store that forwards every call to another store and reports it for counting.
+ * @param store - Store to call.
+ * @param onCall - Called with the name of the method and the outcome: `ok`, `notDone`, `outcomeUnknown` or, for a watch, `opened`.
  */
 export function createCountingStore(store: PlatformStore, onCall: OnStoreCall): PlatformStore {
-    const count = async <T>(call: string, running: Promise<Result<T, PlatformError>>) => {
-        const result = await running;
+    const count = async <T>(call: string, pending: Promise<Result<T, PlatformError>>) => {
+        const result = await pending;
         onCall(call, result.ok ? "ok" : result.val.kind);
         return result;
     };
--- a/src/process/platform/createVmListReader.ts
+++ b/src/process/platform/createVmListReader.ts
@@ -17,12 +17,12 @@
 interface VmListReaderOptions {
     /** Address of the service as `host:port`. */
     address: string;
-    /** Time for a whole call, in milliseconds. */
+    /** Timeout of a call, in milliseconds. */
     timeoutMilliseconds: number;
 }
 
 /**
- * Creates the function that reads the platform's list of machines. Its idle connections keep no process alive.
+ * Creates a function that reads the platform's list of machines. Its idle connections do not keep the process alive.
  * @param options - Address and timeout.
  */
 export function createVmListReader(options: VmListReaderOptions): ListVms {
--- a/src/process/platform/etcdSchemas.ts
+++ b/src/process/platform/etcdSchemas.ts
@@ -1,8 +1,8 @@
 import { z } from "zod";
 
-/** Decodes a 64-bit integer that the JSON form writes as a string; an absent one is 0. */
+/** Decodes a 64-bit integer, which JSON represents as a string. A missing one is 0. */
 const integer = z.union([z.string(), z.number()]).default("0").transform(text => Number(text)).pipe(z.int());
-/** Decodes a base64 text; an absent one is empty. */
+/** Decodes a base64 string. A missing one is empty. */
 const text = z.string().default("").transform(encoded => Buffer.from(encoded, "base64").toString("utf8"));
 
 const header = z.object({ revision: integer });
@@ -17,8 +17,8 @@
 });
 
 /**
- * Answers of the etcd v3 API in the form of its JSON gateway, as far as the store reads them. The gateway leaves out
- * fields that hold their default. Source: `rpc.proto` of the published etcd v3 API.
+ * Schemas of the responses of the etcd v3 JSON gateway, limited to the fields that the store reads. The gateway omits fields with
+ * their default value. Source: `rpc.proto` of the published etcd v3 API.
  */
 export const etcdSchemas = {
     range,
@@ -28,7 +28,7 @@
         responses: z.array(z.object({ response_range: range.omit({ header: true }).optional() })).default([]),
     }),
     leaseGrant: z.object({ ID: z.string() }),
-    /** A time to live of 0 says that the lease has lapsed. */
+    /** A time to live of 0 means that the lease has expired. */
     leaseKeepAlive: z.object({ result: z.object({ TTL: integer }) }),
     leaseRevoke: z.object({ header }),
     watch: z.object({ result: watchResult }),
--- a/src/process/platform/etcdStore.ts
+++ b/src/process/platform/etcdStore.ts
@@ -19,24 +19,24 @@
 
 const defaultWatchSilenceMilliseconds = 5_000;
 const millisecondsPerSecond = 1_000;
-/** gRPC status code of a lease that the service doesn't know. */
+/** gRPC status code for an unknown lease. */
 const notFoundGrpcCode = 5;
 
 interface EtcdStoreOptions {
     /** Address of the service as `host:port`. */
     address: string;
-    /** Time for a whole call, in milliseconds. */
+    /** Timeout of a call, in milliseconds. */
     timeoutMilliseconds: number;
     /**
-     * Time without an event or a progress notice after which a watch counts as broken, in milliseconds; 5,000 where
-     * undefined. The service's interval of progress notices must be shorter, or idle watches are renewed that often.
+     * Time without an event or a progress notification after which a watch counts as broken, in milliseconds. Defaults to 5,000. The
+     * service must send progress notifications more often, or idle watches are reopened after this time.
      */
     watchSilenceMilliseconds?: number;
-    /** Clock for the timeouts; the system's where undefined. */
+    /** Clock for the timeouts. Defaults to the system clock. */
     clock?: Clock;
 }
 
-/** The platform's key-value service, spoken to by the JSON gateway of the etcd v3 API. */
+/** Client of the platform's key-value service through the JSON gateway of the etcd v3 API. */
 export class EtcdStore implements PlatformStore {
     private readonly options: EtcdStoreOptions;
     private readonly clock: Clock;
@@ -54,20 +54,20 @@
     }
 
     /**
-     * Creates a store. It connects at the first call.
+     * Creates a store. It connects on the first call.
      * @param options - Address, timeouts and clock.
      */
     static create(options: EtcdStoreOptions): EtcdStore {
         return new EtcdStore(options);
     }
 
-    /** Reads one key. */
+    /** Reads a key. */
     async get(key: string): Promise<Result<StoredValue | undefined, PlatformError>> {
         const answer = await this.callRange({ key: encode(key) });
         return answer.map(range => range.kvs[0]);
     }
 
-    /** Reads a page of the keys with a prefix. */
+    /** Reads a page of the keys that start with a prefix. */
     async list(
         prefix: string,
         fromKey: string | undefined,
@@ -81,7 +81,7 @@
         return answer.map(({ kvs, more }) => ({ values: kvs, nextKey: more ? getNextKey(kvs) : undefined }));
     }
 
-    /** Writes a key in a transaction if its revision is the expected one; refuses a value over 1 MB without a call. */
+    /** Writes a key in a transaction if its revision is the expected one. Rejects a value over 1 MB without a call. */
     async compareAndSwap(
         key: string,
         expectedRevision: number,
@@ -105,20 +105,20 @@
         );
     }
 
-    /** Grants a lease of the given milliseconds, rounded up to whole seconds. */
+    /** Creates a lease. Its time to live is rounded up to whole seconds. */
     async grantLease(timeToLiveMilliseconds: number): Promise<Result<string, PlatformError>> {
         const seconds = Math.max(1, Math.ceil(timeToLiveMilliseconds / millisecondsPerSecond));
         const answer = await this.callWrite("/v3/lease/grant", etcdSchemas.leaseGrant, { TTL: String(seconds) });
         return answer.map(grant => grant.ID);
     }
 
-    /** Renews a lease; false where it has lapsed. */
+    /** Renews a lease. Returns false if it has expired. */
     async renewLease(leaseId: string): Promise<Result<boolean, PlatformError>> {
         const answer = await this.callWrite("/v3/lease/keepalive", etcdSchemas.leaseKeepAlive, { ID: leaseId });
         return answer.map(({ result }) => result.TTL > 0);
     }
 
-    /** Ends a lease; succeeds also where it has lapsed. */
+    /** Revokes a lease. Also succeeds if it has expired. */
     async revokeLease(leaseId: string): Promise<Result<void, PlatformError>> {
         const answer = await this.callWrite("/v3/lease/revoke", etcdSchemas.leaseRevoke, { ID: leaseId });
         if (answer.err && answer.val.grpcCode !== notFoundGrpcCode) {
@@ -127,7 +127,7 @@
         return Ok(undefined);
     }
 
-    /** Watches one key; the watch lasts until it breaks or is closed. */
+    /** Watches a key until the watch fails or is closed. */
     watch(key: string, fromRevision: number, options: WatchOptions): WatchHandle {
         const watch = EtcdWatch.create({
             onValue: value => options.onValue(value),
@@ -144,7 +144,7 @@
         return watch;
     }
 
-    /** Closes the watches, without a callback, and the connections; running calls fail. */
+    /** Closes the watches, without calling their callbacks, and the connections. Calls in flight fail. */
     async close(): Promise<void> {
         for (const watch of this.watches) {
             watch.close();
@@ -171,7 +171,7 @@
     return Buffer.from(text, "utf8").toString("base64");
 }
 
-/** Gets the key right after the last one of a page, in the order of bytes. */
+/** Gets the key that directly follows the last one of a page in byte order. */
 function getNextKey(values: StoredValue[]): string | undefined {
     const last = values.at(-1);
     return last === undefined ? undefined : `${last.key}\0`;
@@ -181,6 +181,6 @@
     return {
         kind: PlatformErrorKind.NotDone,
         message:
-            `The value of ${key} has ${valueBytes} bytes and the platform holds ${maximumValueBytes}. Make it smaller.`,
+            `The value of ${key} has ${valueBytes} bytes; the platform stores at most ${maximumValueBytes}. Reduce its size.`,
     };
 }
--- a/src/process/platform/etcdWatch.ts
+++ b/src/process/platform/etcdWatch.ts
@@ -10,7 +10,7 @@
 import type { WatchHandle, WatchOptions } from "./platformStore.ts";
 import type { PlatformTransport } from "./platformTransport.ts";
 
-/** A line holds a value in base64 and its envelope; a longer one ends the watch. */
+/** Maximum length of a line, which contains a value as base64 and its envelope. A longer line ends the watch. */
 const maximumLineBytes = 4 * maximumValueBytes;
 const okStatus = 200;
 
@@ -20,15 +20,15 @@
     /** Address of the service as `host:port`, for messages. */
     address: string;
     key: string;
-    /** First revision of the key to report; 0 for changes from now on. */
+    /** First revision of the key to report, or 0 to report changes from now on. */
     fromRevision: number;
-    /** Time without an event or a progress notice after which the watch counts as broken, in milliseconds. */
+    /** Time without an event or a progress notification after which the watch counts as broken, in milliseconds. */
     silenceLimitMilliseconds: number;
-    /** Called once when the watch has ended for any reason. */
+    /** Called once when the watch has ended for any reason, including {@link EtcdWatch.close}. */
     onEnded(): void;
 }
 
-/** A watch of one key over one streamed answer. It ends at the first failure, and says so unless it was closed. */
+/** A watch of one key over one streamed response. It ends on the first failure and reports it unless it was closed before. */
 export class EtcdWatch implements WatchHandle {
     private readonly options: EtcdWatchOptions;
     private readonly abort = new AbortController();
@@ -41,7 +41,7 @@
 
     /**
      * Starts a watch.
-     * @param options - Key, first revision, limits and callbacks.
+     * @param options - Key, first revision, timeout and callbacks.
      */
     static create(options: EtcdWatchOptions): EtcdWatch {
         const watch = new EtcdWatch(options);
@@ -49,7 +49,7 @@
         return watch;
     }
 
-    /** Ends the watch; no callback follows. */
+    /** Closes the watch. {@link WatchOptions.onClosed} is not called. */
     close(): void {
         this.end();
     }
@@ -87,20 +87,20 @@
                 }
             }
         }
-        return createNotDone("The platform ended the watch. Read the key again and watch anew.");
+        return createNotDoneError("The platform ended the watch. Read the key again and start a new watch.");
     }
 
     private readLine(line: string): PlatformError | undefined {
         const { result } = etcdSchemas.watch.parse(JSON.parse(line));
         if (result.canceled) {
-            return createNotDone(
+            return createNotDoneError(
                 `The platform canceled the watch; its oldest revision is ${result.compact_revision}. `
-                    + "Read the key again and watch anew.",
+                    + "Read the key again and start a new watch.",
             );
         }
         if (result.header.revision + 1 < this.options.fromRevision) {
-            return createNotDone(
-                "The platform's revision lies before the first one to watch: the service may have been restored to "
+            return createNotDoneError(
+                "The platform's revision is lower than the first one to watch; the service may have been restored from "
                     + "an older state. Read the key again.",
             );
         }
@@ -113,7 +113,7 @@
                 return undefined;
             }
             if (event.type === "DELETE") {
-                return createNotDone("The watched key was deleted. Read the key again and watch anew.");
+                return createNotDoneError("The watched key was deleted. Read the key again and start a new watch.");
             }
             this.options.onValue(event.kv);
         }
@@ -128,9 +128,9 @@
         const limit = this.options.silenceLimitMilliseconds;
         this.silenceTimer = this.options.clock.setTimer(limit, () => {
             this.options.transport.replaceConnections();
-            this.fail(createNotDone(
-                `The watch was silent for ${limit} milliseconds. Read the key again and watch anew; `
-                    + "check that the service's interval of progress notices is shorter.",
+            this.fail(createNotDoneError(
+                `The watch received nothing for ${limit} milliseconds. Read the key again and start a new watch; `
+                    + "check that the service sends progress notifications more often.",
             ));
         });
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Ends the watch. False where it has ended already. */
+    /** Ends the watch. Returns false if it has already ended. */
     private end(): boolean {
         if (this.isEnded) {
             return false;
@@ -154,6 +154,6 @@
     }
 }
 
-function createNotDone(message: string): PlatformError {
+function createNotDoneError(message: string): PlatformError {
     return { kind: PlatformErrorKind.NotDone, message };
 }
--- a/src/process/platform/getPrefixEnd.ts
+++ b/src/process/platform/getPrefixEnd.ts
@@ -1,9 +1,8 @@
-/** An etcd range end that means "to the end of all keys". */
+/** Range end of etcd that stands for the end of all keys. */
 const endOfAllKeys = Buffer.from([0]);
 
 /**
- * Gets the first key, in the order of bytes, after all keys with a prefix.
- * @param prefix - Bytes that the keys begin with.
+ * Gets the first key in byte order after all keys that start with a prefix.
  */
 export function getPrefixEnd(prefix: Buffer): Buffer {
     for (let index = prefix.length - 1; index >= 0; index--) {
--- a/src/process/platform/platformFailure.ts
+++ b/src/process/platform/platformFailure.ts
@@ -1,7 +1,7 @@
 import type { PlatformError } from "./platformError.ts";
 
-/** A failed exchange with the platform over HTTP. */
+/** Error of an HTTP call to the platform. */
 export interface PlatformFailure extends PlatformError {
-    /** gRPC status code in the body of the answer, where an answer came and holds one. */
+    /** gRPC status code in the body of the response, if there is one. */
     grpcCode?: number;
 }
--- a/src/process/platform/platformTransport.ts
+++ b/src/process/platform/platformTransport.ts
@@ -8,14 +8,14 @@
 import { type PlatformError, PlatformErrorKind } from "./platformError.ts";
 import type { PlatformFailure } from "./platformFailure.ts";
 
-/** Share of a call's time that opening its connection may take, so that a failure to connect is told apart. */
-const connectShare = 0.5;
+/** Fraction of a call's timeout that connecting may take, so that a connect timeout can be distinguished from a lost response. */
+const connectTimeoutFraction = 0.5;
 const okStatus = 200;
 
 interface PlatformTransportOptions {
     /** Address of the service as `host:port`. */
     address: string;
-    /** Time for a whole call, in milliseconds. */
+    /** Timeout of a call, in milliseconds. */
     timeoutMilliseconds: number;
     clock: Clock;
 }
@@ -23,21 +23,21 @@
 interface PlatformCall<T> {
     method: "GET" | "POST";
     path: string;
-    /** Sent as JSON. */
+    /** Body to send as JSON. */
     body?: object;
     effect: CallEffect;
-    /** Shape of the answer's body. */
+    /** Schema of the response's body. */
     schema: z.ZodType<T>;
 }
 
-interface PlatformAnswer {
+interface PlatformResponse {
     status: number;
     body: string;
 }
 
 /**
- * Calls the platform over HTTP. After a timeout the connections that are open serve no new calls, because they may all
- * have gone silent while new ones work.
+ * HTTP client of the platform. After a timeout it opens new connections for further calls, because the existing ones may all have
+ * stopped responding.
  */
 export class PlatformTransport {
     private readonly options: PlatformTransportOptions;
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Creates a transport. It connects at the first call.
+     * Creates a transport. It connects on the first call.
      * @param options - Address, timeout and clock.
      */
     static create(options: PlatformTransportOptions): PlatformTransport {
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Makes one call and reads its whole answer.
-     * @param call - What to send and what to expect.
+     * Makes one call and reads its whole response.
+     * @param call - Request to send and schema of the response.
      */
     async call<T>(call: PlatformCall<T>): Promise<Result<T, PlatformFailure>> {
         if (this.isClosed) {
@@ -79,34 +79,34 @@
     }
 
     /**
-     * Opens an answer that streams until the signal aborts it. It has no timeout of its own.
+     * Makes a call with a streamed response, which has no timeout.
      * @param path - Path of the call.
-     * @param body - Sent as JSON.
-     * @param signal - Ends the stream and destroys its connection.
+     * @param body - Body to send as JSON.
+     * @param signal - Aborts the call and destroys its connection.
      * @throws The error of undici, or the signal's reason.
      */
     async openStream(path: string, body: object, signal: AbortSignal): Promise<Dispatcher.ResponseData> {
         return await this.send({ method: "POST", path, body }, this.agent, signal);
     }
 
-    /** Lets new calls use only new connections; calls that are running keep theirs. */
+    /** Makes new calls use new connections. Calls in flight keep theirs. */
     replaceConnections(): void {
-        const retired = this.agent;
+        const previousAgent = this.agent;
         this.agent = this.createAgent();
-        retired.close().catch(() => undefined);
+        previousAgent.close().catch(() => undefined);
     }
 
-    /** Closes the connections; running calls fail. */
+    /** Closes the connections. Calls in flight fail. */
     async close(): Promise<void> {
         this.isClosed = true;
         await this.agent.destroy();
     }
 
-    private async exchange<T>(call: PlatformCall<T>): Promise<Result<PlatformAnswer, PlatformError>> {
+    private async exchange<T>(call: PlatformCall<T>): Promise<Result<PlatformResponse, PlatformError>> {
         const agent = this.agent;
         const abort = new AbortController();
         const timer = this.options.clock.setTimer(this.options.timeoutMilliseconds, () => {
-            abort.abort(new Error(`no answer within ${this.options.timeoutMilliseconds} milliseconds`));
+            abort.abort(new Error(`no response within ${this.options.timeoutMilliseconds} milliseconds`));
         });
         try {
             const response = await this.send(call, agent, abort.signal);
@@ -146,15 +146,16 @@
             const isRead = call.effect === CallEffect.Read;
             return Err({
                 kind: isRead ? PlatformErrorKind.NotDone : PlatformErrorKind.OutcomeUnknown,
-                message: `The answer of ${this.options.address}${call.path} has an unknown form (${String(error)}). `
-                    + "Check that the address is that of the platform's service.",
+                message:
+                    `The response of ${this.options.address}${call.path} has an unexpected format (${String(error)}). `
+                    + "Check that the address belongs to the platform's service.",
             });
         }
     }
 
     private createAgent(): Agent {
         return new Agent({
-            connect: { timeout: Math.ceil(this.options.timeoutMilliseconds * connectShare) },
+            connect: { timeout: Math.ceil(this.options.timeoutMilliseconds * connectTimeoutFraction) },
             headersTimeout: 0,
             bodyTimeout: 0,
         });
--- a/src/process/platform/vmList.ts
+++ b/src/process/platform/vmList.ts
@@ -1,14 +1,13 @@
 import type { Result } from "../../result.ts";
 import type { PlatformError } from "./platformError.ts";
 
-/** A machine in the platform's list, which lags. */
+/** A machine in the platform's list, which may be out of date. */
 export interface VmRecord {
     vm: string;
-    /** One of live, leaving. */
     state: "live" | "leaving";
-    /** What runs on it: foxlead or an endpoint. */
+    /** Process on the machine: a foxlead node or an endpoint. */
     role: "node" | "endpoint";
-    /** host:port of the process's listener: the peer listener of a node, the service port of an endpoint. */
+    /** Address as host:port: the peer listener of a node or the service port of an endpoint. */
     address: string;
     dataCentre: string;
 }
--- a/tests/process/platform/classifyRefusal.test.ts
+++ b/tests/process/platform/classifyRefusal.test.ts
@@ -6,7 +6,7 @@
 
 describe("classifyRefusal", () => {
     function doTest(status: number, effect: CallEffect, expected: PlatformErrorKind) {
-        it(`says ${expected} for a ${effect} with status ${status}`, () => {
+        it(`returns ${expected} for a ${effect} with status ${status}`, () => {
             assert.equal(classifyRefusal(status, "not JSON", effect).kind, expected);
         });
     }
--- a/tests/process/platform/createStoreFixture.ts
+++ b/tests/process/platform/createStoreFixture.ts
@@ -6,13 +6,13 @@
 interface StoreFixture {
     standin: PlatformStandin;
     store: EtcdStore;
-    /** Clock of the stand-in: leases, lags, limits, progress notices. */
+    /** Clock of the stand-in for leases, lags, limits and progress notifications. */
     platformClock: ManualClock;
-    /** Clock of the store: timeouts. */
+    /** Clock of the store for timeouts. */
     storeClock: ManualClock;
 }
 
-/** Starts a stand-in and a store whose time-outs are 100 milliseconds for calls and 5,000 for silent watches. */
+/** Starts a stand-in and a store with timeouts of 100 milliseconds for calls and 5,000 milliseconds for silent watches. */
 export async function createStoreFixture(
     context: TestContext,
     limits: { writesPerSecond?: number; readsPerSecond?: number; } = {},
--- a/tests/process/platform/createVmListReader.test.ts
+++ b/tests/process/platform/createVmListReader.test.ts
@@ -8,7 +8,7 @@
 const vm = { vm: "vm1", state: "live", role: "node", address: "127.0.0.1:9000", dataCentre: "dc1" };
 
 describe("createVmListReader", () => {
-    it("reads the machines as they were the lag ago, and fails as not done in an outage", async context => {
+    it("reads the list delayed by the lag, and fails as not done during an outage", async context => {
         const clock = ManualClock.create();
         const standin = await PlatformStandin.create({ port: 0, vmListLagMilliseconds: 500, clock });
         context.after(() => standin.close());
--- a/tests/process/platform/etcdStore.test.ts
+++ b/tests/process/platform/etcdStore.test.ts
@@ -7,7 +7,7 @@
 
 describe("EtcdStore", () => {
     describe("compareAndSwap", () => {
-        it("lets one of the racing writers of a revision win and shows the others its value", async context => {
+        it("lets one of several concurrent writers succeed and returns its value to the others", async context => {
             const { store } = await createStoreFixture(context);
             const created = (await store.compareAndSwap("key", 0, "first")).unwrap();
             const names = ["a", "b", "c", "d", "e", "f", "g", "h"];
@@ -24,7 +24,7 @@
             }
         });
 
-        it("expects an absent key at revision 0 and shows nothing where another revision was expected", async context => {
+        it("treats revision 0 as a missing key and returns no value for one if another revision was expected", async context => {
             const { store } = await createStoreFixture(context);
             assert.deepEqual((await store.compareAndSwap("key", 7, "value")).unwrap(), {
                 swapped: false,
@@ -34,7 +34,7 @@
             assert.equal((await store.compareAndSwap("key", 0, "again")).unwrap().current?.value, "ñandú");
         });
 
-        it("leaves the outcome unknown where the answer is lost after the write", async context => {
+        it("reports an unknown outcome if the response is lost after the write", async context => {
             const { store, standin } = await createStoreFixture(context);
             standin.setFaults({ loseAnswers: 1 });
             const lost = await store.compareAndSwap("key", 0, "value");
@@ -42,7 +42,7 @@
             assert.equal((await store.get("key")).unwrap()?.value, "value");
         });
 
-        it("refuses a value over one megabyte without a call, and so does the service", async context => {
+        it("rejects a value over one megabyte without a call, as the service does", async context => {
             const { store, standin } = await createStoreFixture(context);
             const refused = await store.compareAndSwap("key", 0, "é".repeat(500_001));
             assert.equal(refused.err && refused.val.kind, PlatformErrorKind.NotDone);
@@ -56,7 +56,7 @@
             assert.equal(response.status, 400);
         });
 
-        it("is not done where the rate limit refuses it", async context => {
+        it("is not done if the rate limit rejects it", async context => {
             const { store, standin, platformClock } = await createStoreFixture(context, { writesPerSecond: 1 });
             assert.equal((await store.compareAndSwap("key", 0, "one")).ok, true);
             const refused = await store.compareAndSwap("other", 0, "two");
@@ -67,7 +67,7 @@
             assert.equal((await store.compareAndSwap("other", 0, "two")).ok, true);
         });
 
-        it("is not done where no connection can be opened", async () => {
+        it("is not done if no connection can be opened", async () => {
             const standin = await PlatformStandin.create({ port: 0 });
             const address = standin.getAddress();
             await standin.close();
@@ -77,7 +77,7 @@
             await store.close();
         });
 
-        it("leaves the outcome unknown where the connection breaks; a read is not done", async context => {
+        it("reports an unknown outcome if the connection breaks, and not done for a read", async context => {
             const { store, standin } = await createStoreFixture(context);
             standin.setFaults({ down: true });
             const write = await store.compareAndSwap("key", 0, "value");
@@ -91,7 +91,7 @@
 
     describe("timeouts", () => {
         for (const fault of ["hang", "silenceOpenConnections"] as const) {
-            it(`uses a new connection after the old one was silent by ${fault}`, async context => {
+            it(`uses a new connection after the old one stopped responding because of ${fault}`, async context => {
                 const { store, standin, storeClock } = await createStoreFixture(context);
                 assert.equal((await store.get("key")).ok, true);
                 assert.equal((await Promise.all([store.get("key"), store.get("key")])).every(read => read.ok), true);
@@ -106,7 +106,7 @@
             });
         }
 
-        it("gives up a read whose answer is delayed too long, as not done", async context => {
+        it("times out a read whose response is delayed, as not done", async context => {
             const { store, standin, storeClock } = await createStoreFixture(context);
             standin.setFaults({ delayMilliseconds: 1_000 });
             const read = store.get("key");
@@ -133,7 +133,7 @@
             assert.deepEqual(pages, [["p/1", "p/2"], ["p/3", "p/4"], ["p/5"]]);
         });
 
-        it("lists all keys where the prefix is empty", async context => {
+        it("lists all keys if the prefix is empty", async context => {
             const { store } = await createStoreFixture(context);
             await store.compareAndSwap("ñ", 0, "value");
             assert.deepEqual((await store.list("", undefined, 10)).unwrap().values.map(({ key }) => key), ["ñ"]);
@@ -141,7 +141,7 @@
     });
 
     describe("leases", () => {
-        it("deletes the keys of a lease that lapses, and not those of one that is renewed", async context => {
+        it("deletes the keys of an expired lease, but not those of a renewed one", async context => {
             const { store, platformClock } = await createStoreFixture(context);
             const lapsing = (await store.grantLease(1_500)).unwrap();
             const renewed = (await store.grantLease(1_500)).unwrap();
@@ -156,7 +156,7 @@
             assert.equal((await store.renewLease(lapsing)).unwrap(), false);
         });
 
-        it("refuses to bind a key to a lapsed lease", async context => {
+        it("rejects attaching a key to an expired lease", async context => {
             const { store, platformClock } = await createStoreFixture(context);
             const leaseId = (await store.grantLease(1_000)).unwrap();
             platformClock.advance(1_000);
@@ -175,7 +175,7 @@
     });
 
     describe("restored service", () => {
-        it("shows the older value and revision of a snapshot", async context => {
+        it("returns the older value and revision of a snapshot", async context => {
             const { store, standin } = await createStoreFixture(context);
             const older = (await store.compareAndSwap("key", 0, "older")).unwrap();
             standin.takeSnapshot();
--- a/tests/process/platform/etcdWatch.test.ts
+++ b/tests/process/platform/etcdWatch.test.ts
@@ -6,7 +6,7 @@
 import type { StoredValue } from "../../../src/process/platform/platformStore.ts";
 import { createStoreFixture } from "./createStoreFixture.ts";
 
-/** Watches a key and keeps what the watch reports. */
+/** Watches a key and records the calls of the callbacks. */
 function recordWatch(store: EtcdStore, key: string, fromRevision: number) {
     const values: StoredValue[] = [];
     const closings: PlatformError[] = [];
@@ -36,7 +36,7 @@
 }
 
 describe("EtcdWatch", () => {
-    it("delivers the past and the coming changes of its key only", async context => {
+    it("reports only the past and future changes of its key", async context => {
         const { store, standin } = await createStoreFixture(context);
         const first = (await store.compareAndSwap("key", 0, "first")).unwrap();
         const watch = recordWatch(store, "key", first.revision ?? 0);
@@ -70,7 +70,7 @@
         assert.equal(renewed.values[0]?.value, "value");
     });
 
-    it("reports that it has closed when its connection has gone silent, and a new one works", async context => {
+    it("reports that it has closed when its connection stops responding, and a new one works", async context => {
         const { store, standin, storeClock } = await createStoreFixture(context);
         const first = (await store.compareAndSwap("key", 0, "first")).unwrap();
         const watch = recordWatch(store, "key", 1);
@@ -95,7 +95,7 @@
         assert.match(watch.closings[0]?.message ?? "", /deleted/);
     });
 
-    it("reports that it has closed when the service was restored to before its first revision", async context => {
+    it("reports that it has closed when the service was restored to a revision below its first one", async context => {
         const { store, standin } = await createStoreFixture(context);
         standin.takeSnapshot();
         const written = (await store.compareAndSwap("key", 0, "value")).unwrap();
@@ -105,7 +105,7 @@
         assert.match(watch.closings[0]?.message ?? "", /restored/);
     });
 
-    it("reports that it has closed when its first revision is no longer kept", async context => {
+    it("reports that it has closed when its first revision was compacted", async context => {
         const { store } = await createStoreFixture(context);
         let revision = 0;
         for (let count = 0; count < 1_002; count++) {
--- a/tests/process/platform/manualClock.ts
+++ b/tests/process/platform/manualClock.ts
@@ -5,7 +5,7 @@
     callback: () => void;
 }
 
-/** A clock that stands still until a test moves it. */
+/** A clock that only advances when a test says so. */
 export class ManualClock implements Clock {
     private now = 0;
     private readonly timers = new Set<Timer>();
@@ -31,7 +31,7 @@
         return { cancel: () => this.timers.delete(timer) };
     }
 
-    /** Moves the time on and runs the timers that are due, in their order. */
+    /** Advances the time and runs the timers that are due, in order. */
     advance(milliseconds: number): void {
         const end = this.now + milliseconds;
         for (let timer = this.findNextTimer(end); timer !== undefined; timer = this.findNextTimer(end)) {
--- a/tests/process/platform/platformStandin.test.ts
+++ b/tests/process/platform/platformStandin.test.ts
@@ -8,7 +8,7 @@
 const mainPath = new URL("../../../standins/platform/main.ts", import.meta.url).pathname;
 
 describe("platform stand-in as a process", () => {
-    it("says when it is ready, serves and counts calls, takes faults, and ends with status 0 at SIGTERM", async () => {
+    it("reports that it is ready, serves and counts calls, injects faults, and exits with status 0 on SIGTERM", async () => {
         const child = spawn(process.execPath, [mainPath, "--port", "0"], { stdio: ["ignore", "pipe", "inherit"] });
         const [line] = await once(createInterface(child.stdout), "line") as [string];
         const address = /^platform stand-in ready on (127\.0\.0\.1:\d+)$/.exec(line)?.[1] ?? "";
