--- a/src/index.ts
+++ b/src/index.ts
@@ -1,11 +1,11 @@
 /**
- * The coordination parts of foxlead, for other programs to embed. Importing this module starts nothing and loads no code of
- * the node process. Every part takes its clock, random numbers, log and store as arguments.
+ * The coordination components of foxlead, for use in other programs. Importing this module starts nothing and loads no code of the node
+ * process. Each component gets its clock, random source, log and store as arguments.
  *
- * - Claim log: at most one claimant a key over processes without disks ({@link ClaimOwner}, {@link ShardHash}).
- * - Monotonic follower: a value whose version only grows ({@link MonotonicFollower}).
- * - Fenced lease: orders by one holder at a time, with a growing number ({@link FencedLease}).
- * - Membership view: which processes live, after SWIM ({@link MembershipView}, {@link RendezvousOwners}).
+ * - Claim log: grants each key to at most one claimant, across processes without disks ({@link ClaimOwner}, {@link ShardHash}).
+ * - Monotonic follower: a value whose version only increases ({@link MonotonicFollower}).
+ * - Fenced lease: at most one holder at a time, with an increasing fencing number ({@link FencedLease}).
+ * - Membership view: failure detection in the style of SWIM ({@link MembershipView}, {@link RendezvousOwners}).
  *
  * @module
  */
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** The program `foxlead`. */
+/** Entry point of the program `foxlead`. */
 import { createInterface } from "node:readline/promises";
 import { createPlatformCommand } from "../platform/createPlatformCommand.ts";
 import { runCommandLine } from "./process/commandLine/runCommandLine.ts";
@@ -8,7 +8,7 @@
 
 async function confirm(question: string): Promise<boolean> {
     const reader = createInterface({ input: process.stdin, output: process.stderr });
-    // The end of the input, without an answer, means no.
+    // The end of the input means no.
     const ended = new Promise<string>(resolve => {
         reader.once("close", () => resolve(""));
     });
--- a/src/process/commandLine/commandContext.ts
+++ b/src/process/commandLine/commandContext.ts
@@ -1,15 +1,15 @@
 import type { Clock } from "../clock.ts";
 import type { ExitCode } from "./exitCode.ts";
 
-/** What the verbs of the command line work with. */
+/** Environment of the commands of the command line. */
 export interface CommandContext {
     clock: Clock;
-    /** Writes a line of the answer to standard output. */
+    /** Writes a line of output to standard output. */
     print(line: string): void;
-    /** Writes a line about an error, or about progress, to standard error. */
+    /** Writes a line about an error or about progress to standard error. */
     printError(line: string): void;
-    /** Asks a yes-or-no question; undefined where no one is there to answer. */
+    /** Asks a yes-or-no question. Undefined if the process has no terminal. */
     confirm?(question: string): Promise<boolean>;
-    /** Runs a verb and keeps its exit code. */
-    run(verb: () => Promise<ExitCode>): Promise<void>;
+    /** Runs a command and records its exit code. */
+    run(command: () => Promise<ExitCode>): Promise<void>;
 }
--- a/src/process/commandLine/configuration/applyArguments.ts
+++ b/src/process/commandLine/configuration/applyArguments.ts
@@ -1,21 +1,21 @@
 /** Arguments of `config apply`. */
 export interface ApplyArguments {
-    /** File of the configuration. */
+    /** Path of the configuration file. */
     file: string;
     /** Address of the platform's key-value service. */
     store: string;
-    /** Version that the text was made from; the one that stands in the store where undefined. */
+    /** Version that the text is based on. Defaults to the one in the store. */
     expect?: number;
-    /** Whether to apply without a question. */
+    /** Whether to apply without confirmation. */
     yes: boolean;
     /** Whether to wait until the version is in force on every node. */
     wait: boolean;
-    /** Longest wait, in seconds. */
+    /** Maximum time to wait, in seconds. */
     timeout: number;
-    /** Admin listeners of nodes. */
+    /** Addresses of the admin listeners of nodes. */
     admin?: string[];
-    /** Unique name of the edit; a new one where undefined. */
+    /** Unique id of the edit. Defaults to a new one. */
     edit?: string;
-    /** Who applies; the user of this process where undefined. */
+    /** Author of the edit. Defaults to the user of this process. */
     author?: string;
 }
--- a/src/process/commandLine/configuration/applyConfigurationFile.ts
+++ b/src/process/commandLine/configuration/applyConfigurationFile.ts
@@ -24,7 +24,7 @@
     [ApplyErrorKind.BrokenStoredValue]: ExitCode.Unreachable,
 };
 
-/** Runs `config apply`: shows the difference, asks, swaps the text in and waits until it is in force. */
+/** Runs `config apply`: prints the differences, asks for confirmation, applies the text and waits until it is in force. */
 export async function applyConfigurationFile(
     options: ApplyArguments,
     store: PlatformStore,
@@ -40,9 +40,9 @@
         return ExitCode.Unreachable;
     }
     printDifferences(stored.val, loaded.configuration, context);
-    const refusal = await askForConsent(options, context);
-    if (refusal !== undefined) {
-        return refusal;
+    const declinedExitCode = await confirmApply(options, context);
+    if (declinedExitCode !== undefined) {
+        return declinedExitCode;
     }
     const editId = options.edit ?? randomUUID();
     context.printError(`Applying as edit ${editId}.`);
@@ -61,7 +61,7 @@
         return exitCodes[applied.val.kind];
     }
     const { version, isReplaced } = applied.val;
-    context.print(`Version ${version} was accepted${isReplaced ? ", and a later edit has replaced it since" : ""}.`);
+    context.print(`Version ${version} was accepted${isReplaced ? ", but a later edit has replaced it" : ""}.`);
     return options.wait ? await waitForNodes(version, options, context) : ExitCode.Success;
 }
 
@@ -70,18 +70,20 @@
         return userInfo().username;
     }
     catch {
-        // In containers the user often has no entry in the list of users.
+        // In containers the user often has no entry in the user database.
         return `uid ${process.getuid?.()}`;
     }
 }
 
-/** Asks whether to go on, unless the option `--yes` says so. Returns the exit code where the answer is no. */
-async function askForConsent(options: ApplyArguments, context: CommandContext): Promise<ExitCode | undefined> {
+/** Asks for confirmation unless `--yes` is given. Returns an exit code if the user declines or can't be asked. */
+async function confirmApply(options: ApplyArguments, context: CommandContext): Promise<ExitCode | undefined> {
     if (options.yes) {
         return undefined;
     }
     if (context.confirm === undefined) {
-        context.printError("Nothing was written: no terminal is there to ask. Add --yes to apply without a question.");
+        context.printError(
+            "Nothing was written: there is no terminal to ask for confirmation. Add --yes to apply without it.",
+        );
         return ExitCode.Usage;
     }
     if (await context.confirm("Apply this?")) {
@@ -91,7 +93,7 @@
     return ExitCode.Success;
 }
 
-/** Finds the highest version in force; a store that was restored from an old copy may hold a lower one. */
+/** Finds the highest version in force on the nodes. A store that was restored from a backup may hold a lower one. */
 async function findHighestVersion(addresses: readonly string[]): Promise<number | undefined> {
     let highest: number | undefined;
     for (const status of await Promise.all(addresses.map(fetchNodeStatus))) {
@@ -116,8 +118,8 @@
         return ExitCode.Success;
     }
     context.printError(
-        `Version ${version} was accepted, but is not known to be in force on ${missing.join(", ")} `
-            + `after ${options.timeout} seconds. Look at these nodes; they take it when they reach a peer or the store.`,
+        `Version ${version} was accepted, but was not confirmed to be in force on ${missing.join(", ")} `
+            + `after ${options.timeout} seconds. Check these nodes; they apply it when they can reach a peer or the store.`,
     );
     return ExitCode.NotInForce;
 }
--- a/src/process/commandLine/configuration/createApplyCommand.ts
+++ b/src/process/commandLine/configuration/createApplyCommand.ts
@@ -7,22 +7,22 @@
 
 const defaultTimeoutSeconds = 30;
 
-/** Creates the verb `config apply`. */
+/** Creates the command `config apply`. */
 export function createApplyCommand(context: CommandContext): CommandModule<object, ApplyArguments> {
     return {
         command: "apply <file>",
-        describe: "Bring a text into force as the next version.",
+        describe: "Apply a configuration as the next version.",
         builder: parser =>
             parser
-                .positional("file", { type: "string", demandOption: true, describe: "File of the configuration." })
+                .positional("file", { type: "string", demandOption: true, describe: "Configuration file." })
                 .option("store", storeOption)
                 .option("expect", {
                     type: "number",
                     requiresArg: true,
                     coerce: checkVersion,
-                    describe: "Version that the text was made from. Default: the one that stands in the store.",
+                    describe: "Version that the text is based on. Default: the one in the store.",
                 })
-                .option("yes", { type: "boolean", default: false, describe: "Apply without a question." })
+                .option("yes", { type: "boolean", default: false, describe: "Apply without confirmation." })
                 .option("wait", {
                     type: "boolean",
                     default: false,
@@ -33,25 +33,32 @@
                     default: defaultTimeoutSeconds,
                     requiresArg: true,
                     coerce: checkTimeout,
-                    describe: "Longest wait, in seconds.",
+                    describe: "Maximum time to wait, in seconds.",
                 })
                 .option("admin", adminOption)
                 .option("edit", {
                     type: "string",
                     requiresArg: true,
-                    describe: "Name of the edit, to repeat one whose answer was lost. Default: a new one.",
+                    describe: "Id of the edit, to retry one whose outcome is unknown. Default: a new id.",
+                })
+                .option("author", {
+                    type: "string",
+                    requiresArg: true,
+                    describe: "Author of the edit. Default: this user.",
                 })
-                .option("author", { type: "string", requiresArg: true, describe: "Who applies. Default: this user." })
                 .check(({ wait, admin }) => {
                     if (wait && admin === undefined) {
-                        throw new UsageError("--wait needs --admin with at least one node to ask.");
+                        throw new UsageError("--wait needs --admin with at least one node.");
                     }
                     return true;
                 })
-                .example("$0 config apply services.jsonc --store 127.0.0.1:2379", "Show what changes, ask, apply.")
+                .example(
+                    "$0 config apply services.jsonc --store 127.0.0.1:2379",
+                    "Show the changes, ask for confirmation and apply them.",
+                )
                 .example(
                     "$0 config apply services.jsonc --store 127.0.0.1:2379 --expect 7 --yes --wait --admin 127.0.0.1:9400",
-                    "Apply only over version 7, and wait for all nodes that 127.0.0.1:9400 knows.",
+                    "Apply only if version 7 is in the store, and wait for all nodes that 127.0.0.1:9400 knows.",
                 ),
         handler: options =>
             context.run(async () => {
@@ -64,7 +71,7 @@
 
 function checkVersion(version: number | undefined): number | undefined {
     if (version !== undefined && !(Number.isSafeInteger(version) && version >= 0)) {
-        throw new UsageError("--expect needs the number of a version, or 0 for none.");
+        throw new UsageError("--expect needs a version number, or 0 if there is no version.");
     }
     return version;
 }
--- a/src/process/commandLine/configuration/createConfigurationCommand.ts
+++ b/src/process/commandLine/configuration/createConfigurationCommand.ts
@@ -4,8 +4,8 @@
 import { storeOption } from "./storeOption.ts";
 
 /**
- * Creates the verbs about the operators' configuration. What each needs is imported when it runs, since every start of the program
- * would pay for it otherwise.
+ * Creates the command `config` with its subcommands. Each subcommand imports its code on demand, which keeps the start of the program
+ * fast.
  */
 export function createConfigurationCommand(context: CommandContext): CommandModule {
     return {
@@ -18,7 +18,7 @@
                 .command(createApplyCommand(context))
                 .command(createShowCommand(context))
                 .command(createHistoryCommand(context))
-                .demandCommand(1, "Name what to do with the configuration."),
+                .demandCommand(1, "Specify a subcommand."),
         handler: () => undefined,
     };
 }
@@ -26,9 +26,9 @@
 function createCheckCommand(context: CommandContext): CommandModule<object, { file: string; }> {
     return {
         command: "check <file>",
-        describe: "Check a text.",
+        describe: "Check a configuration file.",
         builder: parser =>
-            addFile(parser).example("$0 config check services.jsonc", "List every fault with its line and column."),
+            addFile(parser).example("$0 config check services.jsonc", "List every error with its line and column."),
         handler: ({ file }) =>
             context.run(async () => {
                 const { checkConfiguration } = await import("./checkConfiguration.ts");
@@ -40,7 +40,7 @@
 function createDiffCommand(context: CommandContext): CommandModule<object, { file: string; store: string; }> {
     return {
         command: "diff <file>",
-        describe: "Show what applying a text would change.",
+        describe: "Show what applying a configuration file would change.",
         builder: parser =>
             addFile(parser)
                 .option("store", storeOption)
@@ -57,7 +57,7 @@
 function createShowCommand(context: CommandContext): CommandModule<object, { store: string; version?: number; }> {
     return {
         command: "show",
-        describe: "Print the text of a version as it was written.",
+        describe: "Print the original text of a version.",
         builder: parser =>
             parser
                 .option("store", storeOption)
@@ -66,7 +66,7 @@
                     requiresArg: true,
                     describe: "Version from the history. Default: the newest.",
                 })
-                .example("$0 config show --store 127.0.0.1:2379 > services.jsonc", "Fetch the text to change it."),
+                .example("$0 config show --store 127.0.0.1:2379 > services.jsonc", "Fetch the text to edit it."),
         handler: ({ store: address, version }) =>
             context.run(async () => {
                 const { withStore } = await import("./withStore.ts");
@@ -94,5 +94,5 @@
 }
 
 function addFile(parser: Argv) {
-    return parser.positional("file", { type: "string", demandOption: true, describe: "File of the configuration." });
+    return parser.positional("file", { type: "string", demandOption: true, describe: "Configuration file." });
 }
--- a/src/process/commandLine/configuration/loadConfiguration.ts
+++ b/src/process/commandLine/configuration/loadConfiguration.ts
@@ -10,10 +10,10 @@
 }
 
 /**
- * Reads and checks a file of the configuration, and prints its faults.
- * @param file - File to read.
- * @param context - Takes the faults.
- * @returns Undefined where the file is missing or has faults.
+ * Reads and validates a configuration file, and prints its errors.
+ * @param file - Path of the file.
+ * @param context - Context to print the errors with.
+ * @returns The configuration, or undefined if the file is missing or invalid.
  */
 export function loadConfiguration(file: string, context: CommandContext): ConfigurationFile | undefined {
     const text = readTextFile(file, context);
--- a/src/process/commandLine/configuration/printDifferences.ts
+++ b/src/process/commandLine/configuration/printDifferences.ts
@@ -6,16 +6,16 @@
 
 /**
  * Prints what a new configuration changes.
- * @param stored - What stands in the store; undefined where nothing does.
- * @param next - Configuration to compare with it.
- * @param context - Takes the lines.
+ * @param stored - Configuration in the store; undefined if there is none.
+ * @param next - New configuration.
+ * @param context - Context to print the differences with.
  */
 export function printDifferences(
     stored: StoredConfiguration | undefined,
     next: Configuration,
     context: CommandContext,
 ): void {
-    // A stored text that this release can't parse compares as none.
+    // A stored text that this release can't parse is treated as none.
     const before = stored === undefined ? undefined : parseConfiguration(stored.text).unwrapOr(undefined);
     const lines = diffConfigurations(before, next);
     const from = stored === undefined ? "an empty store" : `version ${stored.version} by ${stored.author}`;
--- a/src/process/commandLine/configuration/readStoredConfiguration.ts
+++ b/src/process/commandLine/configuration/readStoredConfiguration.ts
@@ -4,9 +4,8 @@
 
 /**
  * Reads a configuration from the platform's store.
- * @param store - Platform's store.
- * @param key - Key to read; that of the configuration in force by default.
- * @returns The configuration, undefined where there is none, or an error that names the remedy.
+ * @param key - Key to read. Defaults to that of the current configuration.
+ * @returns The configuration, undefined if the key does not exist, or an error with a suggested action.
  */
 export async function readStoredConfiguration(
     store: PlatformStore,
--- a/src/process/commandLine/configuration/showConfiguration.ts
+++ b/src/process/commandLine/configuration/showConfiguration.ts
@@ -5,8 +5,8 @@
 import { readStoredConfiguration } from "./readStoredConfiguration.ts";
 
 /**
- * Runs `config show`: the text goes to standard output as it was written, all else to standard error.
- * @param version - Version from the history; the one in force where undefined.
+ * Runs `config show`: prints the original text to standard output and everything else to standard error.
+ * @param version - Version from the history. Defaults to the current one.
  */
 export async function showConfiguration(
     version: number | undefined,
@@ -20,7 +20,7 @@
         return ExitCode.Unreachable;
     }
     if (stored.val === undefined || (version !== undefined && stored.val.version !== version)) {
-        const remedy = "See foxlead config history for those that it holds, or apply a first one.";
+        const remedy = "Run foxlead config history to list the versions, or apply a first one.";
         context.printError(`The store does not hold ${version === undefined ? "a" : "that"} version. ${remedy}`);
         return ExitCode.BrokenFile;
     }
--- a/src/process/commandLine/configuration/showHistory.ts
+++ b/src/process/commandLine/configuration/showHistory.ts
@@ -7,10 +7,10 @@
 import { ExitCode } from "../exitCode.ts";
 import { formatTable } from "../formatTable.ts";
 
-/** Few, because a value may have up to 1 MB. */
+/** Small, because a value may have up to 1 MB. */
 const pageSize = 5;
 
-/** Runs `config history`: a table of the versions that the store still holds, the newest first. */
+/** Runs `config history`: prints a table of the versions in the store, the newest first. */
 export async function showHistory(store: PlatformStore, context: CommandContext): Promise<ExitCode> {
     const history = await readHistory(store);
     if (history.err) {
--- a/src/process/commandLine/configuration/storeOption.ts
+++ b/src/process/commandLine/configuration/storeOption.ts
@@ -1,7 +1,7 @@
 import { parseAddress } from "../../settings/parseAddress.ts";
 import { UsageError } from "../usageError.ts";
 
-/** The option `--store`: the platform's key-value service. */
+/** Option `--store`: address of the platform's key-value service. */
 export const storeOption = {
     type: "string",
     demandOption: true,
@@ -9,7 +9,7 @@
     describe: "Address of the platform's key-value service, as IP:PORT.",
     coerce: (address: string): string => {
         if (!parseAddress(address)?.port) {
-            throw new UsageError(`"${address}" is no address; write IP:PORT, such as 127.0.0.1:2379.`);
+            throw new UsageError(`"${address}" is not a valid address; use IP:PORT, such as 127.0.0.1:2379.`);
         }
         return address;
     },
--- a/src/process/commandLine/configuration/waitUntilInForce.ts
+++ b/src/process/commandLine/configuration/waitUntilInForce.ts
@@ -2,26 +2,26 @@
 import type { NodeStatus } from "../../admin/nodeStatus.ts";
 import type { Clock } from "../../clock.ts";
 
-const pollMilliseconds = 500;
+const pollIntervalMilliseconds = 500;
 const deadState = "dead";
 
 interface WaitOptions {
     /** Version that must be in force. */
     version: number;
-    /** Admin listeners to ask. */
+    /** Addresses of the admin listeners of the nodes to poll. */
     addresses: readonly string[];
     timeoutMilliseconds: number;
     clock: Clock;
-    /** Asks a node for its status. */
+    /** Fetches the status of a node. */
     fetchStatus(address: string): Promise<Result<NodeStatus, string>>;
-    /** Takes a line each time that the progress has changed. */
+    /** Called with a line of text when the progress has changed. */
     printProgress(line: string): void;
 }
 
 /**
- * Waits until a version is in force on every node: on those that are asked, and on all members that they see.
- * @param options - Version, nodes and time.
- * @returns The names, or addresses, of the nodes that don't have it in force in time; none where all have.
+ * Waits until a version is in force on the polled nodes and on all members that they see.
+ * @param options - Version, nodes and timeout.
+ * @returns The names or addresses of the nodes on which it is not in force at the end; empty on success.
  */
 export async function waitUntilInForce(options: WaitOptions): Promise<string[]> {
     const { clock, version } = options;
@@ -29,7 +29,7 @@
     let lastLine = "";
     for (;;) {
         const versions = await readVersions(options);
-        const missing = [...versions].filter(([, held]) => held < version).map(([node]) => node).sort();
+        const missing = [...versions].filter(([, nodeVersion]) => nodeVersion < version).map(([node]) => node).sort();
         const line = `Version ${version} is in force on ${versions.size - missing.length} of ${versions.size} nodes`
             + (missing.length === 0 ? "." : `; waiting for ${missing.join(", ")}.`);
         if (line !== lastLine) {
@@ -39,26 +39,29 @@
         if (missing.length === 0 || clock.getMonotonicTime() >= deadline) {
             return missing;
         }
-        await new Promise<void>(resolve => clock.setTimer(pollMilliseconds, resolve));
+        await new Promise<void>(resolve => clock.setTimer(pollIntervalMilliseconds, resolve));
     }
 }
 
-/** Reads each node's version. What a node says of itself beats what others have heard of it. */
+/** Gets the version of each node. A node's own report takes precedence over what other nodes know of it. */
 async function readVersions({ addresses, fetchStatus }: WaitOptions): Promise<Map<string, number>> {
     const answers = await Promise.all(addresses.map(fetchStatus));
-    const own = new Map<string, number>();
-    const heard = new Map<string, number>();
+    const ownVersions = new Map<string, number>();
+    const reportedVersions = new Map<string, number>();
     for (const [index, answer] of answers.entries()) {
         if (answer.err) {
-            own.set(addresses[index] ?? "", -1);
+            ownVersions.set(addresses[index] ?? "", -1);
             continue;
         }
-        own.set(answer.val.vm, answer.val.configurationVersion);
+        ownVersions.set(answer.val.vm, answer.val.configurationVersion);
         for (const member of answer.val.members) {
             if (member.state !== deadState) {
-                heard.set(member.vm, Math.max(member.configurationVersion, heard.get(member.vm) ?? 0));
+                reportedVersions.set(
+                    member.vm,
+                    Math.max(member.configurationVersion, reportedVersions.get(member.vm) ?? 0),
+                );
             }
         }
     }
-    return new Map([...heard, ...own]);
+    return new Map([...reportedVersions, ...ownVersions]);
 }
--- a/src/process/commandLine/configuration/withStore.ts
+++ b/src/process/commandLine/configuration/withStore.ts
@@ -5,17 +5,17 @@
 const timeoutMilliseconds = 5000;
 
 /**
- * Runs a verb with a connection to the platform's key-value service, which it closes afterwards.
- * @param address - host:port of the service.
- * @param verb - Work to do.
+ * Runs a command with a client of the platform's key-value service, and closes the client afterwards.
+ * @param address - Address of the service, as host:port.
+ * @param command - Command to run.
  */
 export async function withStore(
     address: string,
-    verb: (store: PlatformStore) => Promise<ExitCode>,
+    command: (store: PlatformStore) => Promise<ExitCode>,
 ): Promise<ExitCode> {
     const store = EtcdStore.create({ address, timeoutMilliseconds });
     try {
-        return await verb(store);
+        return await command(store);
     }
     finally {
         await store.close();
--- a/src/process/commandLine/createNodeCommand.ts
+++ b/src/process/commandLine/createNodeCommand.ts
@@ -2,7 +2,7 @@
 import type { CommandContext } from "./commandContext.ts";
 import { ExitCode } from "./exitCode.ts";
 
-/** Creates the verb `node`. */
+/** Creates the command `node`. */
 export function createNodeCommand(context: CommandContext): CommandModule<object, { settings: string; }> {
     return {
         command: "node",
@@ -13,12 +13,12 @@
                     type: "string",
                     demandOption: true,
                     requiresArg: true,
-                    describe: "File of the node's settings.",
+                    describe: "Settings file of the node.",
                 })
                 .example("$0 node --settings node.settings.jsonc", "Run a node."),
         handler: ({ settings: file }) =>
             context.run(async () => {
-                // Imported here, because the other verbs need nothing of it.
+                // Imported on demand so that the other commands do not load it.
                 const { loadSettings } = await import("./loadSettings.ts");
                 const settings = loadSettings(file, context);
                 if (settings === undefined) {
--- a/src/process/commandLine/createSettingsCommand.ts
+++ b/src/process/commandLine/createSettingsCommand.ts
@@ -2,15 +2,15 @@
 import type { CommandContext } from "./commandContext.ts";
 import { ExitCode } from "./exitCode.ts";
 
-/** Creates the verbs about settings. */
+/** Creates the command `settings` with its subcommands. */
 export function createSettingsCommand(context: CommandContext): CommandModule {
     const check: CommandModule<object, { file: string; }> = {
         command: "check <file>",
-        describe: "Check a node's settings and the files that they name.",
+        describe: "Check a node's settings and the files that they refer to.",
         builder: parser =>
             parser
-                .positional("file", { type: "string", demandOption: true, describe: "File of the settings." })
-                .example("$0 settings check node.settings.jsonc", "List every fault with its line and column."),
+                .positional("file", { type: "string", demandOption: true, describe: "Settings file." })
+                .example("$0 settings check node.settings.jsonc", "List every error with its line and column."),
         handler: ({ file }) =>
             context.run(async () => {
                 const { loadSettings } = await import("./loadSettings.ts");
@@ -18,14 +18,14 @@
                 if (settings === undefined) {
                     return ExitCode.BrokenFile;
                 }
-                context.print(`${file} is correct; it sets up the node ${settings.vm}.`);
+                context.print(`${file} is correct; it configures the node ${settings.vm}.`);
                 return ExitCode.Success;
             }),
     };
     return {
         command: "settings",
         describe: "Check a node's settings.",
-        builder: parser => parser.command(check).demandCommand(1, "Name what to do with the settings."),
+        builder: parser => parser.command(check).demandCommand(1, "Specify a subcommand."),
         handler: () => undefined,
     };
 }
--- a/src/process/commandLine/createStatusCommand.ts
+++ b/src/process/commandLine/createStatusCommand.ts
@@ -5,19 +5,22 @@
 import { ExitCode } from "./exitCode.ts";
 import { formatStatus } from "./formatStatus.ts";
 
-/** Creates the verb `status`. */
+/** Creates the command `status`. */
 export function createStatusCommand(
     context: CommandContext,
 ): CommandModule<object, { admin: string[]; json: boolean; }> {
     return {
         command: "status",
-        describe: "Show what nodes report of themselves, of each other and of the endpoints.",
+        describe: "Show what nodes report about themselves, each other and the endpoints.",
         builder: parser =>
             parser
                 .option("admin", { ...adminOption, demandOption: true })
-                .option("json", { type: "boolean", default: false, describe: "Print the answers as JSON." })
-                .example("$0 status --admin 127.0.0.1:9400", "Ask one node.")
-                .example("$0 status --admin 127.0.0.1:9400,127.0.0.1:9401 --json", "Ask two nodes; for programs."),
+                .option("json", { type: "boolean", default: false, describe: "Print the result as JSON." })
+                .example("$0 status --admin 127.0.0.1:9400", "Show the status of one node.")
+                .example(
+                    "$0 status --admin 127.0.0.1:9400,127.0.0.1:9401 --json",
+                    "Show the status of two nodes as JSON.",
+                ),
         handler: ({ admin, json }) => context.run(() => showStatus(admin, json, context)),
     };
 }
--- a/src/process/commandLine/explain/createExplainCommand.ts
+++ b/src/process/commandLine/explain/createExplainCommand.ts
@@ -5,15 +5,15 @@
 import { formatStory } from "./formatStory.ts";
 import { findRequestStory } from "./requestStory.ts";
 
-const standardInput = 0;
+const standardInputDescriptor = 0;
 
-/** Creates the verb `explain`. */
+/** Creates the command `explain`. */
 export function createExplainCommand(
     context: CommandContext,
 ): CommandModule<object, { request: string; logs: string[]; }> {
     return {
         command: "explain <request> [logs..]",
-        describe: "Print what the logs of all nodes say of a request, in order.",
+        describe: "Print the log lines of all nodes about a request, in order.",
         builder: parser =>
             parser
                 .positional("request", { type: "string", demandOption: true, describe: "Id of the request." })
@@ -21,33 +21,33 @@
                     type: "string",
                     array: true,
                     default: [],
-                    describe: "Files of log lines; standard input where none is named.",
+                    describe: "Log files. Default: standard input.",
                 })
-                .example("$0 explain 9c41d07be2a35f68 node-*.log", "Explain a request from the logs of some nodes."),
+                .example("$0 explain 9c41d07be2a35f68 node-*.log", "Explain a request from the logs of several nodes."),
         handler: ({ request, logs }) => context.run(async () => explain(String(request), logs, context)),
     };
 }
 
 function explain(request: string, files: string[], context: CommandContext): ExitCode {
     const lines: string[] = [];
-    for (const file of files.length === 0 ? [standardInput] : files) {
+    for (const file of files.length === 0 ? [standardInputDescriptor] : files) {
         try {
             lines.push(...readFileSync(file, "utf8").split("\n"));
         }
         catch (error) {
             const reason = error instanceof Error ? error.message : String(error);
-            context.printError(`${file} can't be read: ${reason}. Name files of log lines.`);
+            context.printError(`${file} can't be read: ${reason}. Check the paths of the log files.`);
             return ExitCode.BrokenFile;
         }
     }
-    const story = findRequestStory(lines, request);
-    if (story.length === 0) {
+    const requestLines = findRequestStory(lines, request);
+    if (requestLines.length === 0) {
         context.printError(
-            `No line is about the request ${request}. Check its id, and that all nodes' logs are given.`,
+            `There are no log lines about the request ${request}. Check its id, and that the logs of all nodes are given.`,
         );
         return ExitCode.BrokenFile;
     }
-    for (const line of formatStory(story)) {
+    for (const line of formatStory(requestLines)) {
         context.print(line);
     }
     return ExitCode.Success;
--- a/src/process/commandLine/explain/formatStory.ts
+++ b/src/process/commandLine/explain/formatStory.ts
@@ -1,12 +1,12 @@
 import type { StoryLine } from "./storyLine.ts";
 
 /**
- * Formats a request's story, one line an event, with the time since its first line.
- * @param story - Lines in order of time.
+ * Formats the log lines about a request, each with the time since the first line of the request.
+ * @param requestLines - Lines in chronological order.
  */
-export function formatStory(story: readonly StoryLine[]): string[] {
-    const start = story.find(({ isContext }) => !isContext)?.time ?? 0;
-    return story.map(({ time, vm, event, message, fields, isContext }) => {
+export function formatStory(requestLines: readonly StoryLine[]): string[] {
+    const start = requestLines.find(({ isContext }) => !isContext)?.time ?? 0;
+    return requestLines.map(({ time, vm, event, message, fields, isContext }) => {
         const offset = `${time - start >= 0 ? "+" : ""}${time - start} ms`.padStart(10);
         const details = Object.entries(fields)
             .filter(([name, value]) => name !== "request" && value !== "")
--- a/src/process/commandLine/explain/requestStory.ts
+++ b/src/process/commandLine/explain/requestStory.ts
@@ -1,24 +1,24 @@
 import { readEventLine } from "../../logging/readEventLine.ts";
 import type { StoryLine } from "./storyLine.ts";
 
-/** How far around the request lines about its endpoints are shown, in milliseconds. */
+/** Lines about a request's endpoints are included from this time before the request's first line to this time after its last one. */
 const contextMilliseconds = 3_000;
 const commonFields = new Set(["time", "level", "event", "message", "vm"]);
+/** Matches the endpoint ids in a chain, which is formatted as ID=FROM-TO,... */
 const idPattern = /[^=,\s]+(?==\d+-\d+)/g;
 
 /**
- * Finds what the logs of all nodes say of a request: its own lines, and those of about the same time that concern the
- * endpoints that it used.
- * @param lines - Lines of the logs, in any order; lines that aren't JSON are passed over.
- * @param requestId - The request.
- * @returns The lines in order of time.
+ * Finds the log lines about a request: its own lines, and lines from around the same time about the endpoints that it used.
+ * @param lines - Log lines in any order. Lines that aren't JSON are ignored.
+ * @param requestId - Id of the request.
+ * @returns The lines in chronological order.
  */
 export function findRequestStory(lines: Iterable<string>, requestId: string): StoryLine[] {
     const parsed: StoryLine[] = [];
     for (const line of lines) {
-        const story = parseLine(line);
-        if (story !== undefined) {
-            parsed.push(story);
+        const parsedLine = parseLine(line);
+        if (parsedLine !== undefined) {
+            parsed.push(parsedLine);
         }
     }
     const own = parsed.filter(({ fields }) => fields["request"] === requestId);
--- a/src/process/commandLine/explain/storyLine.ts
+++ b/src/process/commandLine/explain/storyLine.ts
@@ -1,12 +1,12 @@
-/** One line of a log that concerns the request. */
+/** A log line about a request or an endpoint that it used. */
 export interface StoryLine {
-    /** Time of the line, milliseconds since the Unix epoch. */
+    /** Time of the line, in milliseconds since the Unix epoch. */
     time: number;
     vm: string;
     event: string;
     message: string;
-    /** What else the line says. */
+    /** Other fields of the line. */
     fields: Readonly<Record<string, unknown>>;
-    /** Whether it concerns an endpoint that the request used, and not the request itself. */
+    /** Whether the line is about an endpoint that the request used rather than the request itself. */
     isContext: boolean;
 }
--- a/src/process/commandLine/formatStatus.ts
+++ b/src/process/commandLine/formatStatus.ts
@@ -18,8 +18,8 @@
 ];
 
 /**
- * Formats what nodes answered as tables: the nodes that were asked, then all members and endpoints as they see them.
- * @param statuses - Answers.
+ * Formats the statuses of nodes as tables: one of these nodes, one of the members and one of the endpoints that they see.
+ * @param statuses - Statuses of the nodes.
  */
 export function formatStatus(statuses: readonly NodeStatus[]): string[] {
     const nodes = [nodeHeading];
@@ -65,12 +65,12 @@
     return milliseconds === undefined ? "never" : `${(milliseconds / millisecondsPerSecond).toFixed(1)} s ago`;
 }
 
-/** Adds a row whose last cell names the node that sees it so; nodes that see the same share a row. */
+/** Adds a row whose last cell is the observing node. Rows that only differ in the observer are merged. */
 function addView(rows: Map<string, string[]>, row: string[]): void {
     const observer = row.at(-1) ?? "";
     const key = JSON.stringify(row.slice(0, -1));
-    const known = rows.get(key);
-    rows.set(key, known === undefined ? row : [...known.slice(0, -1), `${known.at(-1)}, ${observer}`]);
+    const existing = rows.get(key);
+    rows.set(key, existing === undefined ? row : [...existing.slice(0, -1), `${existing.at(-1)}, ${observer}`]);
 }
 
 function sortRows(rows: Map<string, string[]>): string[][] {
--- a/src/process/commandLine/formatTable.ts
+++ b/src/process/commandLine/formatTable.ts
@@ -1,6 +1,6 @@
 /**
  * Formats rows as a table with aligned columns.
- * @param rows - The heading and the rows; all have the same number of cells.
+ * @param rows - Heading and rows, all with the same number of cells.
  */
 export function formatTable(rows: readonly (readonly string[])[]): string[] {
     const widths: number[] = [];
--- a/src/process/commandLine/loadSettings.ts
+++ b/src/process/commandLine/loadSettings.ts
@@ -5,10 +5,10 @@
 import { readTextFile } from "./readTextFile.ts";
 
 /**
- * Reads and checks the settings, and prints their faults.
- * @param file - File of the settings.
- * @param context - Takes the faults.
- * @returns The settings, or undefined where the file is missing or has faults.
+ * Reads and validates a settings file, and prints its errors.
+ * @param file - Path of the settings file.
+ * @param context - Context to print the errors with.
+ * @returns The settings, or undefined if the file is missing or invalid.
  */
 export function loadSettings(file: string, context: CommandContext): NodeSettings | undefined {
     const text = readTextFile(file, context);
--- a/src/process/commandLine/printFaults.ts
+++ b/src/process/commandLine/printFaults.ts
@@ -2,15 +2,15 @@
 import type { CommandContext } from "./commandContext.ts";
 
 /**
- * Prints faults as `FILE:LINE:COLUMN: PATH: MESSAGE`, which editors understand.
- * @param file - File that has the faults.
- * @param faults - Faults in the order of the text.
- * @param context - Takes the lines.
+ * Prints the errors of a file as `FILE:LINE:COLUMN: PATH: MESSAGE`, a format that editors recognise.
+ * @param file - Path of the file.
+ * @param faults - Errors in the order of the text.
+ * @param context - Context to print the errors with.
  */
 export function printFaults(file: string, faults: readonly TextFault[], context: CommandContext): void {
     for (const { line, column, path, message } of faults) {
-        const place = path === "" ? "" : `${path}: `;
-        context.printError(`${file}:${line}:${column}: ${place}${message}`);
+        const prefix = path === "" ? "" : `${path}: `;
+        context.printError(`${file}:${line}:${column}: ${prefix}${message}`);
     }
-    context.printError(`${file} has ${faults.length} ${faults.length === 1 ? "fault" : "faults"}; nothing was done.`);
+    context.printError(`${file} has ${faults.length} ${faults.length === 1 ? "error" : "errors"}; nothing was done.`);
 }
--- a/src/process/commandLine/readTextFile.ts
+++ b/src/process/commandLine/readTextFile.ts
@@ -2,9 +2,9 @@
 import type { CommandContext } from "./commandContext.ts";
 
 /**
- * Reads a file that the command line names, and says so where it can't be read.
- * @param file - Path; `-` for standard input.
- * @param context - Takes the error.
+ * Reads a text file, and prints an error if it can't be read.
+ * @param file - Path of the file, or `-` for standard input.
+ * @param context - Context to print the error with.
  */
 export function readTextFile(file: string, context: CommandContext): string | undefined {
     try {
@@ -12,7 +12,7 @@
     }
     catch (error) {
         const reason = error instanceof Error ? error.message : String(error);
-        context.printError(`The file ${file} can't be read; check its path and rights: ${reason}.`);
+        context.printError(`The file ${file} can't be read; check its path and permissions: ${reason}.`);
         return undefined;
     }
 }
--- a/src/process/commandLine/runCommandLine.ts
+++ b/src/process/commandLine/runCommandLine.ts
@@ -9,32 +9,34 @@
 import { createExplainCommand } from "./explain/createExplainCommand.ts";
 import { UsageError } from "./usageError.ts";
 
-const widestHelp = 110;
+const maximumHelpWidth = 110;
 
-/** Creates a verb that stands outside this folder. */
+/** Creates a command that is defined outside of this folder. */
 // eslint-disable-next-line @typescript-eslint/no-explicit-any
 type CreateCommand = (context: CommandContext) => CommandModule<object, any>;
 
 /**
- * Parses the command line and runs its verb.
- * @param words - Words of the command line after the program's name.
- * @param surroundings - Clock, output and who answers questions.
- * @param createCommands - Create further verbs.
+ * Parses the command line and runs its command.
+ * @param commandArguments - Arguments after the program's name.
+ * @param environment - Clock, output and confirmation of questions.
+ * @param createCommands - Functions that create additional commands.
  */
 export async function runCommandLine(
-    words: string[],
-    surroundings: Omit<CommandContext, "run">,
+    commandArguments: string[],
+    environment: Omit<CommandContext, "run">,
     createCommands: CreateCommand[] = [],
 ): Promise<ExitCode> {
     let exitCode: ExitCode = ExitCode.Success;
     const context: CommandContext = {
-        ...surroundings,
-        run: async verb => {
-            exitCode = await verb();
+        ...environment,
+        run: async command => {
+            exitCode = await command();
         },
     };
     try {
-        await createParser(context, createCommands).parseAsync(words[0] === "--version" ? ["version"] : words);
+        await createParser(context, createCommands).parseAsync(
+            commandArguments[0] === "--version" ? ["version"] : commandArguments,
+        );
     }
     catch (error) {
         return reportError(error, context);
@@ -63,23 +65,23 @@
         .version(false)
         .detectLocale(false)
         .exitProcess(false)
-        .wrap(Math.min(widestHelp, parser.terminalWidth()))
+        .wrap(Math.min(maximumHelpWidth, parser.terminalWidth()))
         .epilogue(
-            "Exit codes: 0 success, 1 usage, 2 faults in a file, 3 lost race, 4 platform or node unreachable, "
-                + "5 not in force everywhere in time, 70 unexpected error.",
+            "Exit codes: 0 success, 1 usage, 2 missing or invalid file, 3 another edit came first, "
+                + "4 platform or node unreachable, 5 not in force everywhere in time, 70 unexpected error.",
         )
         .fail((message: string | undefined, error: Error | undefined) => {
-            throw error ?? new UsageError(message ?? "The command line is wrong.");
+            throw error ?? new UsageError(message ?? "The command line is invalid.");
         });
 }
 
 function reportError(error: unknown, context: CommandContext): ExitCode {
     const isUsage = error instanceof UsageError || (error instanceof Error && error.name === "YError");
     if (isUsage) {
-        context.printError(`${error.message}\nSee foxlead --help, or --help after a command.`);
+        context.printError(`${error.message}\nSee foxlead --help, or foxlead COMMAND --help.`);
         return ExitCode.Usage;
     }
     const details = error instanceof Error ? error.stack ?? error.message : String(error);
-    context.printError(`Unexpected error. Please report it with this text: ${details}`);
+    context.printError(`Unexpected error. Please report it with the following details: ${details}`);
     return ExitCode.Unexpected;
 }
--- a/src/process/commandLine/usageError.ts
+++ b/src/process/commandLine/usageError.ts
@@ -1,4 +1,4 @@
-/** A command line that can't be run as written. */
+/** Error of an invalid command line. */
 export class UsageError extends Error {
     override readonly name = "UsageError";
 }
--- a/src/result.ts
+++ b/src/result.ts
@@ -1,6 +1,6 @@
 /**
- * The one place that imports `ts-results`. Node.js loads the package as a CommonJS module, whose members are those of the
- * default export; a bundler loads its ES module, which has named exports only.
+ * Re-exports `ts-results`, which no other module imports. Node.js loads the package as a CommonJS module, whose exports are members of
+ * the default export; a bundler loads its ES module, which only has named exports.
  */
 import * as namespace from "ts-results";
 
--- a/tests/process/commandLine/commandLine.test.ts
+++ b/tests/process/commandLine/commandLine.test.ts
@@ -36,11 +36,11 @@
         ],
         endpoints: [{ endpoint: "e1", state: "serving" }],
     };
-    /** By how much the node's version grows with each answer. */
-    let step = 0;
+    /** Amount by which the node's version increases after each response. */
+    let versionIncrement = 0;
     const node = createServer((_request, response) => {
         response.end(JSON.stringify(status));
-        status.configurationVersion += step;
+        status.configurationVersion += versionIncrement;
     });
     let platform: PlatformStandin;
     let store = "";
@@ -59,16 +59,16 @@
         rmSync(folder, { recursive: true });
     });
 
-    async function run(...words: string[]) {
-        const child = spawn(process.execPath, [program, ...words], { stdio: ["ignore", "pipe", "pipe"] });
+    async function run(...commandArguments: string[]) {
+        const child = spawn(process.execPath, [program, ...commandArguments], { stdio: ["ignore", "pipe", "pipe"] });
         const outputs = Promise.all([text(child.stdout), text(child.stderr)]);
         const [exitCode] = await once(child, "exit");
         const [output, errors] = await outputs;
         return { exitCode, output, errors };
     }
 
-    async function doTest(words: string[], exitCode: ExitCode, output: RegExp, errors = /^/): Promise<void> {
-        const result = await run(...words);
+    async function doTest(commandArguments: string[], exitCode: ExitCode, output: RegExp, errors = /^/): Promise<void> {
+        const result = await run(...commandArguments);
         assert.match(result.output, output);
         assert.match(result.errors, errors);
         assert.equal(result.exitCode, exitCode);
@@ -83,7 +83,7 @@
         ]);
     });
 
-    it("prints a completion script, and completes verbs", async () => {
+    it("prints a completion script and completes commands", async () => {
         await Promise.all([
             doTest(["completion"], ExitCode.Success, /foxlead completion.*compgen|compdef/s),
             doTest(["--get-yargs-completions", "foxlead", ""], ExitCode.Success, /config[\s\S]*status/),
@@ -133,15 +133,15 @@
     it("waits until a version is in force on every live node", async () => {
         const apply = ["config", "apply", file, "--store", store, "--yes", "--wait", "--admin", admin];
         await doTest([...apply, "--timeout", "0"], ExitCode.NotInForce, /Version 2/, /on a, b after 0 seconds/);
-        // The node is ahead of the store, as after a restore: the next version goes above both.
+        // The node has a higher version than the store, as after a restore; the next version must be above both.
         status.configurationVersion = 5;
         status.members = [];
-        step = 1;
+        versionIncrement = 1;
         await doTest(apply, ExitCode.Success, /Version 6 was accepted\.\nVersion 6 is in force everywhere/);
-        step = 0;
+        versionIncrement = 0;
     });
 
-    it("reports a platform or node that can't be reached", async () => {
+    it("reports an unreachable platform or node", async () => {
         const apply = ["config", "apply", file, "--store", "127.0.0.1:1", "--yes"];
         await Promise.all([
             doTest(apply, ExitCode.Unreachable, /^$/, /Nothing was written/),
--- a/tests/process/commandLine/explain/requestStory.test.ts
+++ b/tests/process/commandLine/explain/requestStory.test.ts
@@ -20,7 +20,7 @@
 ];
 
 describe("findRequestStory", () => {
-    it("gives the request's lines and those about its endpoints at that time, in order", () => {
+    it("returns the lines about the request and its endpoints at that time, in order", () => {
         const story = findRequestStory(lines, "r");
         assert.deepEqual(story.map(({ event, isContext }) => [event, isContext]), [
             ["FL1711", false],
@@ -29,7 +29,7 @@
         ]);
     });
 
-    it("finds nothing of an unknown request", () => {
+    it("returns nothing for an unknown request", () => {
         assert.deepEqual(findRequestStory(lines, "unknown"), []);
     });
 
--- a/tests/process/commandLine/waitUntilInForce.test.ts
+++ b/tests/process/commandLine/waitUntilInForce.test.ts
@@ -6,7 +6,7 @@
 import { Err, Ok, type Result } from "../../../src/result.ts";
 
 describe("waitUntilInForce", () => {
-    /** Answers each round of polls with the next list of statuses, the last one for good. */
+    /** Responds to each round of polls with the next list of statuses, and repeats the last one. */
     async function wait(rounds: (Partial<NodeStatus> | undefined)[][]) {
         let time = 0;
         const clock: Clock = {
@@ -55,7 +55,7 @@
         ]);
     });
 
-    it("names the members that don't have it in time, but not the dead", async () => {
+    it("returns the members that don't have the version in time, except dead ones", async () => {
         const members = [createMember("a", 7), createMember("c", 6), createMember("d", 0, "dead")];
         const { missing } = await wait([[
             { vm: "a", configurationVersion: 7, members },
@@ -64,7 +64,7 @@
         assert.deepEqual(missing, ["c"]);
     });
 
-    it("believes a node that restarted more than what others heard of it", async () => {
+    it("prefers a restarted node's own report over those of other nodes", async () => {
         const a = { vm: "a", configurationVersion: 0 };
         const { missing } = await wait([[
             a,
