--- a/src/process/commandLine/explain/requestStory.ts
+++ b/src/process/commandLine/explain/requestStory.ts
@@ -1,7 +1,7 @@
 import { readEventLine } from "../../logging/readEventLine.ts";
 import type { StoryLine } from "./storyLine.ts";
 
-/** Lines about a request's endpoints are included from this time before the request's first line to this time after its last one. */
+/** Time before the first and after the last line of a request in which lines about its endpoints are included. */
 const contextMilliseconds = 3_000;
 const commonFields = new Set(["time", "level", "event", "message", "vm"]);
 /** Matches the endpoint ids in a chain, which is formatted as ID=FROM-TO,... */
--- a/tests/platform/decoders.test.ts
+++ b/tests/platform/decoders.test.ts
@@ -58,11 +58,11 @@
         const endpoint = decodeEndpoint("servers/i-1", JSON.stringify(record)).unwrap();
         assert.equal(endpoint.registeredId, "i-1");
         assert.equal(endpoint.incarnation, 1_700_000_000_000);
-        const holding = decodeEndpoint(
+        const withLayers = decodeEndpoint(
             "servers/i-1",
             JSON.stringify({ ...record, layers: { from: 2, to: 9, version: 1 } }),
         );
-        assert.deepEqual(holding.unwrap().layers, { start: 2, end: 9 });
+        assert.deepEqual(withLayers.unwrap().layers, { start: 2, end: 9 });
         assert.ok(decodeEndpoint("servers/i-1", JSON.stringify({ ...record, state: "draining" })).unwrap().isDraining);
     });
 
@@ -74,15 +74,15 @@
 
     it("reject a record of another program if any field is missing or of the wrong type", () => {
         assert.equal(decodeEndpoint("servers/i-1", JSON.stringify({ ...record, born: undefined })).unwrap().id, "i-1");
-        const strange = fc.oneof(
+        const invalidValue = fc.oneof(
             fc.constant(null),
             fc.constant({}),
             fc.constant([]),
             fc.constant(-1.5),
             fc.boolean(),
         );
-        const needed = fc.constantFrom("service", "address", "zone", "slots", "state", "born");
-        fc.assert(fc.property(needed, strange, (field, value) => {
+        const requiredField = fc.constantFrom("service", "address", "zone", "slots", "state", "born");
+        fc.assert(fc.property(requiredField, invalidValue, (field, value) => {
             assert.ok(decodeEndpoint("servers/i-1", JSON.stringify({ ...record, [field]: value })).err, field);
         }));
         for (
--- a/tests/platform/endpointLimit.test.ts
+++ b/tests/platform/endpointLimit.test.ts
@@ -10,7 +10,7 @@
 const settleMilliseconds = 3_000;
 const runMilliseconds = 8_000;
 const windowMilliseconds = 4_000;
-const secondMilliseconds = 1_000;
+const millisecondsPerSecond = 1_000;
 
 // Guards against ignoring the rate limit that endpoints report in their responses: they got two to three times as many requests.
 describe("An endpoint with a rate limit", () => {
@@ -32,7 +32,7 @@
                 statuses.set(status, (statuses.get(status) ?? 0) + 1);
             });
             answers.push(sent);
-            await wait(startedAt + (count + 1) * secondMilliseconds / requestsPerSecond - performance.now());
+            await wait(startedAt + (count + 1) * millisecondsPerSecond / requestsPerSecond - performance.now());
         }
         await Promise.all(answers);
         return statuses;
@@ -43,11 +43,11 @@
             await harness.waitForEndpoints(await harness.addNode(), endpoints);
         }
         // Gives the nodes time to discover each other.
-        await wait(secondMilliseconds);
+        await wait(millisecondsPerSecond);
     }
 
     /** Gets the maximum number of requests that an endpoint got in a window after the settle time. */
-    function getMost({ runs }: EndpointStandin): number {
+    function getMaximumInWindow({ runs }: EndpointStandin): number {
         const times = runs.map(({ arrivedAt }) => arrivedAt);
         const settled = times.filter(time => time >= times[0]! + settleMilliseconds);
         return Math.max(
@@ -56,14 +56,20 @@
     }
 
     function getAllowed(limit: number): number {
-        return 1.5 * limit * windowMilliseconds / secondMilliseconds + 5;
+        return 1.5 * limit * windowMilliseconds / millisecondsPerSecond + 5;
     }
 
     function assertRespected(endpoint: EndpointStandin, limit: number): void {
-        const most = getMost(endpoint);
-        assert.ok(most <= getAllowed(limit), `${most} requests in ${windowMilliseconds} ms, limit ${limit} a second`);
-        const least = limit * windowMilliseconds / secondMilliseconds / 2;
-        assert.ok(most >= least, `only ${most} requests in ${windowMilliseconds} ms, limit ${limit} a second`);
+        const maximum = getMaximumInWindow(endpoint);
+        assert.ok(
+            maximum <= getAllowed(limit),
+            `${maximum} requests in ${windowMilliseconds} ms, limit ${limit} per second`,
+        );
+        const minimum = limit * windowMilliseconds / millisecondsPerSecond / 2;
+        assert.ok(
+            maximum >= minimum,
+            `only ${maximum} requests in ${windowMilliseconds} ms, limit ${limit} per second`,
+        );
     }
 
     it("gets no more document requests than its limit, and the others get the rest", async () => {
--- a/tests/version/applyConfiguration.test.ts
+++ b/tests/version/applyConfiguration.test.ts
@@ -16,7 +16,7 @@
         store: MemoryStore,
         expectedVersion: number,
         editId: string,
-        more: { text?: string; highestKnownVersion?: number; } = {},
+        overrides: { text?: string; highestKnownVersion?: number; } = {},
     ): Promise<Result<AppliedConfiguration, ApplyError>> {
         const clock = FakeClock.create();
         const options = {
@@ -27,7 +27,7 @@
             author: "ana",
             expectedVersion,
             editId,
-            ...more,
+            ...overrides,
         };
         const applying = applyConfiguration(options);
         await clock.advance(60_000);
--- a/tests/version/configurationWatcher.test.ts
+++ b/tests/version/configurationWatcher.test.ts
@@ -145,16 +145,16 @@
     });
 
     it("reads again when a read times out, and still accepts its late response", async () => {
-        const held: (() => void)[] = [];
+        const pendingCalls: (() => void)[] = [];
         const { clock, store, follower, numbers } = setUp(
             false,
-            () => new Promise(resolve => void held.push(resolve)),
+            () => new Promise(resolve => void pendingCalls.push(resolve)),
         );
         put(store, 1);
         await clock.advance(6_000);
         assert.deepEqual(numbers, [1206]);
-        assert.equal(held.length, 2);
-        held[0]?.();
+        assert.equal(pendingCalls.length, 2);
+        pendingCalls[0]?.();
         await clock.advance(0);
         assert.equal(follower.getVersion(), 1);
     });
--- a/tests/version/parseConfiguration.test.ts
+++ b/tests/version/parseConfiguration.test.ts
@@ -4,7 +4,7 @@
 
 const hash = `sha256:${"a".repeat(64)}`;
 
-const sound = `{
+const validText = `{
     // Two halves of one model.
     "models": { "assistant": { "layers": 8, "hiddenBytes": 4096 } },
     "dataCentres": { "a": { "region": "r" }, "b": { "region": "r" } },
@@ -22,13 +22,13 @@
 
 describe("parseConfiguration", () => {
     function doTest(search: string, replacement: string, expected: string[]): void {
-        assert.ok(sound.includes(search));
-        const parsed = parseConfiguration(sound.replace(search, replacement));
+        assert.ok(validText.includes(search));
+        const parsed = parseConfiguration(validText.replace(search, replacement));
         assert.deepEqual(parsed.err ? parsed.val.map(fault => `${fault.line} ${fault.path}`) : [], expected);
     }
 
     it("fills in the defaults", () => {
-        const configuration = parseConfiguration(sound).unwrap();
+        const configuration = parseConfiguration(validText).unwrap();
         assert.deepEqual(configuration.claims, {
             shards: 4,
             windowMilliseconds: 300_000,
@@ -39,7 +39,7 @@
     });
 
     it("finds nothing under the names of inherited members such as `constructor`", () => {
-        const { services } = parseConfiguration(sound).unwrap();
+        const { services } = parseConfiguration(validText).unwrap();
         assert.equal(services["constructor"], undefined);
         assert.equal(services["__proto__"], undefined);
     });
--- a/tests/version/routing/routeTable.test.ts
+++ b/tests/version/routing/routeTable.test.ts
@@ -26,7 +26,7 @@
         doTest("c.example", "/x/", undefined);
     });
 
-    it("agrees with a search through all routes", () => {
+    it("agrees with a linear search", () => {
         const prefix = fc.array(fc.constantFrom("a", "b", "ab"), { maxLength: 4 }).map(parts =>
             `/${parts.map(part => `${part}/`).join("")}`
         );
