--- a/standins/document/documentStandin.ts
+++ b/standins/document/documentStandin.ts
@@ -5,16 +5,16 @@
 import { type DocumentFaults, documentFaults } from "./documentFaults.ts";
 import type { DocumentStandinOptions } from "./documentStandinOptions.ts";
 
-/** What a document service has executed. */
+/** Record of the calls that a document service has executed. */
 interface DocumentRecord {
     total: number;
-    /** Executions by the header `idempotency-key`; calls without one count under an empty key. */
+    /** Number of executions by `idempotency-key` header. Calls without the header use an empty key. */
     executions: Record<string, number>;
 }
 
 type CountedFault = "refuseNext" | "resetBeforeRun" | "resetAfterRun";
 
-/** A plain document service's stand-in: any method and path is answered and counted. */
+/** Stand-in for a document service. It answers and counts calls with any method and path. */
 export class DocumentStandin {
     private readonly options: DocumentStandinOptions;
     private readonly server: StandinServer;
@@ -31,12 +31,12 @@
         });
     }
 
-    /** Creates a service that does not listen yet. */
+    /** Creates a service. Call `listen` to start it. */
     static create(options: Pick<DocumentStandinOptions, "name"> & Partial<DocumentStandinOptions>): DocumentStandin {
         return new DocumentStandin({ port: 0, delayMilliseconds: 5, ...options });
     }
 
-    /** Starts to listen. */
+    /** Starts listening. */
     listen(): Promise<void> {
         return this.server.listen();
     }
@@ -51,7 +51,7 @@
         return this.server.getAddress();
     }
 
-    /** Applies faults that a test asks for; those that it does not name stay as they are. */
+    /** Sets the faults given by a test; the others keep their values. */
     setFaults(change: DocumentFaults): void {
         this.faults = { ...this.faults, ...change };
         if (change.freezeExistingConnections) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Gets what the service has executed. */
+    /** Gets the record of executed calls. */
     getRecord(): DocumentRecord {
         return { total: this.total, executions: Object.fromEntries(this.executions) };
     }
@@ -71,11 +71,11 @@
         else if (exchange.path === "/standin/faults") {
             this.handleFaults(exchange);
         }
-        else if (this.takeFault("resetBeforeRun")) {
+        else if (this.consumeFault("resetBeforeRun")) {
             exchange.reset();
         }
-        else if (this.takeFault("refuseNext")) {
-            const error = "The service is busy and did not run the call; send it again later.";
+        else if (this.consumeFault("refuseNext")) {
+            const error = "The service is busy and did not run the call. Retry later.";
             exchange.sendJson(429, { error }, { "retry-after": "1" });
         }
         else {
@@ -93,13 +93,13 @@
         exchange.sendJson(200, {});
     }
 
-    /** Counts the call at once, and answers it after its time even where the caller has gone. */
+    /** Counts a call at once and finishes it after the delay, even if the caller has disconnected. */
     private execute(exchange: StandinExchange): void {
         const key = String(exchange.headers["idempotency-key"] ?? "");
         const execution = (this.executions.get(key) ?? 0) + 1;
         this.executions.set(key, execution);
         this.total++;
-        const isReset = this.takeFault("resetAfterRun");
+        const isReset = this.consumeFault("resetAfterRun");
         const answer = {
             service: this.options.name,
             path: exchange.path,
@@ -111,8 +111,8 @@
         setTimeout(finish, this.faults.delayMilliseconds ?? this.options.delayMilliseconds);
     }
 
-    /** Whether a counted fault hits this call; counts it. */
-    private takeFault(kind: CountedFault): boolean {
+    /** Gets if a fault applies to the current call, and decrements its remaining count. */
+    private consumeFault(kind: CountedFault): boolean {
         const remaining = this.faults[kind] ?? 0;
         if (remaining === 0) {
             return false;
--- a/standins/document/main.ts
+++ b/standins/document/main.ts
@@ -4,8 +4,8 @@
 
 const parsed = yargs(process.argv.slice(2))
     .option("name", { type: "string", demandOption: true, description: "Name of the endpoint." })
-    .option("port", { type: "number", default: 0, description: "TCP port on 127.0.0.1; 0 for any." })
-    .option("delay-milliseconds", { type: "number", default: 5, description: "Time of one execution." })
+    .option("port", { type: "number", default: 0, description: "TCP port on 127.0.0.1; 0 for any free port." })
+    .option("delay-milliseconds", { type: "number", default: 5, description: "Duration of an execution." })
     .strict()
     .parseSync();
 
--- a/standins/engine/cacheEventLog.ts
+++ b/standins/engine/cacheEventLog.ts
@@ -2,23 +2,23 @@
 import type { Clock } from "../../src/process/clock.ts";
 import { modelFunction } from "./model/modelFunction.ts";
 
-const keptEvents = 20000;
+const maximumEvents = 20000;
 
 /** Options of {@link CacheEventLog}. */
 interface CacheEventLogOptions {
     clock: Clock;
-    /** Time from an event to its publication, in milliseconds. */
+    /** Delay before an event is published, in milliseconds. */
     delayMilliseconds: number;
-    /** About one event in so many is lost; 0 for none. */
+    /** Average number of events per lost event; 0 if none are lost. */
     gapEvery: number;
     seed: number;
 }
 
-/** The cache events of an engine, published late and with gaps. */
+/** Cache events of an engine, published with a delay and with gaps. */
 export class CacheEventLog {
     private readonly options: CacheEventLogOptions;
     private readonly events: { event: CacheEvent; publicationTime: number; }[] = [];
-    private sequence = 0;
+    private lastSequenceNumber = 0;
 
     private constructor(options: CacheEventLogOptions) {
         this.options = options;
@@ -29,21 +29,21 @@
         return new CacheEventLog(options);
     }
 
-    /** Adds an event, or loses it. */
+    /** Adds an event. Some events are dropped after they got a sequence number, which leaves a gap. */
     add(kind: CacheEvent["kind"], prefixHash: string): void {
         const { clock, delayMilliseconds, gapEvery, seed } = this.options;
-        const sequence = ++this.sequence;
+        const sequence = ++this.lastSequenceNumber;
         if (gapEvery > 0 && (modelFunction.mix(seed, sequence) >>> 0) % gapEvery === 0) {
             return;
         }
         const publicationTime = clock.getMonotonicTime() + delayMilliseconds;
         this.events.push({ event: { sequence, kind, prefixHash }, publicationTime });
-        if (this.events.length > keptEvents) {
+        if (this.events.length > maximumEvents) {
             this.events.shift();
         }
     }
 
-    /** Gets the published events after a sequence number. */
+    /** Gets the published events whose sequence number is higher than `after`. */
     getEvents(after: number): CacheEvent[] {
         const now = this.options.clock.getMonotonicTime();
         const published: CacheEvent[] = [];
@@ -58,8 +58,8 @@
         return published;
     }
 
-    /** Gets the highest sequence number given out. */
+    /** Gets the highest assigned sequence number. */
     getSequence(): number {
-        return this.sequence;
+        return this.lastSequenceNumber;
     }
 }
--- a/standins/engine/cacheTransfer.ts
+++ b/standins/engine/cacheTransfer.ts
@@ -19,14 +19,14 @@
     isLeaving(): boolean;
 }
 
-/** Why a cache was not moved; the reason is one that a pass would get, or `data` or `sequence`. */
+/** Reason why an export or import failed: a refusal reason of a pass, `data` or `sequence`. */
 interface TransferError {
     status: 400 | 404 | 409;
     reason: string;
     message: string;
 }
 
-/** Exports and imports sequences' KV caches. */
+/** Exports and imports the KV caches of sequences. */
 export class CacheTransfer {
     private readonly options: CacheTransferOptions;
 
@@ -34,17 +34,17 @@
         this.options = options;
     }
 
-    /** Creates a transfer between a store of sequences and the outside. */
+    /** Creates a transfer for the given sequence store. */
     static create(options: CacheTransferOptions): CacheTransfer {
         return new CacheTransfer(options);
     }
 
-    /** Exports the layers that a sequence has seen, from the first to the last. */
+    /** Exports the layers of a sequence that have processed positions. */
     exportCache(request: string, attempt: number): Result<CacheBlob, TransferError> {
         const sequence = this.options.sequences.findSequence(request, attempt);
         const layerStart = sequence?.counts.findIndex(count => count > 0) ?? -1;
         if (!sequence || layerStart < 0) {
-            return fail(404, "sequence", "The engine holds no such sequence; name a running attempt.");
+            return createError(404, "sequence", "The engine has no such sequence. Use a running attempt.");
         }
         const layerEnd = sequence.counts.findLastIndex(count => count > 0) + 1;
         const data = JSON.stringify({
@@ -61,34 +61,42 @@
         const { modelLayers, heldLayers, sequences } = this.options;
         const data = parseData(blob);
         if (!data || blob.layerEnd > (modelLayers[data.model] ?? 0)) {
-            return fail(400, "data", "The data is not an export of these layers; send an export unchanged.");
+            return createError(
+                400,
+                "data",
+                "The data is not an export of these layers. Send the exported data unchanged.",
+            );
         }
         const identity = { request: blob.request, attempt: blob.attempt, model: data.model };
         if (!heldLayers.hasRange({ model: data.model, start: blob.layerStart, end: blob.layerEnd })) {
-            return fail(409, "layers", "The engine lacks these layers; import where they are held.");
+            return createError(
+                409,
+                "layers",
+                "The engine does not hold these layers. Import into an engine that does.",
+            );
         }
         if (this.options.isLeaving()) {
-            return fail(409, "leaving", "The engine is leaving; import at another.");
+            return createError(409, "leaving", "The engine is leaving. Import into another engine.");
         }
         if (sequences.isClosed(identity) || sequences.getSequence(identity)) {
-            return fail(409, "cancelled", "The attempt is closed or runs here already; use a newer attempt.");
+            return createError(409, "cancelled", "The attempt is closed or already runs here. Use a newer attempt.");
         }
         const layerPositions = data.counts.reduce((sum, count) => sum + count, 0);
         const added = sequences.addSequence(identity, layerPositions);
         if (added.err) {
-            return fail(409, added.val, "The engine has no memory left; import at another.");
+            return createError(409, added.val, "The engine is out of memory. Import into another engine.");
         }
-        fill(added.val, blob.layerStart, data);
+        restoreSequence(added.val, blob.layerStart, data);
         sequences.countUse(layerPositions);
         return Ok(undefined);
     }
 }
 
-function fail(status: TransferError["status"], reason: string, message: string) {
+function createError(status: TransferError["status"], reason: string, message: string) {
     return Err({ status, reason, message });
 }
 
-function fill(sequence: Sequence, layerStart: number, data: z.infer<typeof dataSchema>): void {
+function restoreSequence(sequence: Sequence, layerStart: number, data: z.infer<typeof dataSchema>): void {
     sequence.counts.set(data.counts, layerStart);
     sequence.digests.set(data.digests, layerStart);
 }
--- a/standins/engine/engineFaults.ts
+++ b/standins/engine/engineFaults.ts
@@ -3,17 +3,17 @@
 
 type FaultChange = z.infer<typeof messageSchemas.faults>;
 
-/** The faults that a test has asked of an engine. */
+/** Faults that a test has set on an engine. */
 export class EngineFaults {
     /** Whether the engine is leaving. */
     leaving = false;
-    /** Factor on the time of a step. */
+    /** Factor by which the duration of a step is multiplied. */
     slowFactor = 1;
-    /** Whether the step loop stands still. */
+    /** Whether the step loop is paused. */
     frozen = false;
-    private failures = 0;
-    private resets = 0;
-    private refusals = 0;
+    private remainingFailures = 0;
+    private remainingResets = 0;
+    private remainingRefusals = 0;
 
     private constructor() {}
 
@@ -22,28 +22,28 @@
         return new EngineFaults();
     }
 
-    /** Applies what a change names and leaves the rest. */
+    /** Applies the faults that are set in a change; the others keep their values. */
     apply(change: FaultChange): void {
         this.leaving = change.leaving ?? this.leaving;
         this.slowFactor = change.slowFactor ?? this.slowFactor;
         this.frozen = change.freeze ?? this.frozen;
-        this.failures = change.failNextPasses ?? this.failures;
-        this.resets = change.resetNextBatches ?? this.resets;
-        this.refusals = change.refuseNext ?? this.refusals;
+        this.remainingFailures = change.failNextPasses ?? this.remainingFailures;
+        this.remainingResets = change.resetNextBatches ?? this.remainingResets;
+        this.remainingRefusals = change.refuseNext ?? this.remainingRefusals;
     }
 
-    /** Whether this pass is to fail; counts it. */
+    /** Gets if the current pass must fail, and decrements the number of remaining failures. */
     takeFailure(): boolean {
-        return this.failures > 0 && this.failures-- > 0;
+        return this.remainingFailures > 0 && this.remainingFailures-- > 0;
     }
 
-    /** Whether this batch's connection is to be reset; counts it. */
+    /** Gets if the connection of the current batch must be reset, and decrements the number of remaining resets. */
     takeReset(): boolean {
-        return this.resets > 0 && this.resets-- > 0;
+        return this.remainingResets > 0 && this.remainingResets-- > 0;
     }
 
-    /** Whether this pass is to be refused; counts it. */
+    /** Gets if the current pass must be refused, and decrements the number of remaining refusals. */
     takeRefusal(): boolean {
-        return this.refusals > 0 && this.refusals-- > 0;
+        return this.remainingRefusals > 0 && this.remainingRefusals-- > 0;
     }
 }
--- a/standins/engine/engineRoutes.ts
+++ b/standins/engine/engineRoutes.ts
@@ -7,10 +7,7 @@
 
 type Handler = (exchange: StandinExchange) => void;
 
-/**
- * Creates the handler of all the engine's paths.
- * @param engine - Engine that answers.
- */
+/** Creates the request handler for all paths of an engine. */
 export function createEngineRoutes(engine: EngineStandin): Handler {
     const routes = findMyWay();
     const add = (method: "GET" | "POST", path: string, handler: Handler) => {
@@ -72,14 +69,14 @@
     return exchange => {
         const route = routes.find(exchange.method as "GET", exchange.path);
         if (!route) {
-            exchange.sendJson(404, { error: "No such path; see the engine protocol." });
+            exchange.sendJson(404, { error: "Unknown path. See the engine protocol." });
             return;
         }
         (route.store as Handler)(exchange);
     };
 }
 
-/** Wraps a handler so that it gets the parsed body; a bad one is answered with status 400. */
+/** Wraps a handler so that it gets the parsed body. An invalid body gets status 400. */
 function withBody<T>(schema: z.ZodType<T>, handler: (body: T, exchange: StandinExchange) => void): Handler {
     return exchange => {
         const body = parseBody(exchange.body, schema);
@@ -91,7 +88,7 @@
     };
 }
 
-/** A `Result` as far as it matters to {@link sendOutcome}. */
+/** The parts of a `Result` that {@link sendOutcome} uses. */
 type Outcome =
     | { err: false; val: unknown; }
     | { err: true; val: { status: number; reason?: string; message: string; }; };
--- a/standins/engine/engineStandin.ts
+++ b/standins/engine/engineStandin.ts
@@ -22,12 +22,12 @@
 
 type RequiredOptions = Pick<EngineStandinOptions, "name" | "layers" | "modelLayers">;
 
-/** The figures of a status that lag. */
+/** Load values of the status, which are sampled at intervals. */
 type EngineLoad = Pick<EngineStatus, "queue" | "sequences" | "freePositions">;
 
-/** A model engine's stand-in, which speaks the engine protocol on 127.0.0.1. */
+/** Stand-in for a model engine, which implements the engine protocol on 127.0.0.1. */
 export class EngineStandin {
-    /** What the engine has executed. */
+    /** Record of the executed passes. */
     readonly record: ExecutionRecord;
     readonly sequences: SequenceStore;
     readonly orders: WeightOrders;
@@ -36,24 +36,24 @@
     private readonly options: EngineStandinOptions;
     private readonly faults = EngineFaults.create();
     private readonly heldLayers: HeldLayers;
-    private readonly loop: StepLoop;
-    private readonly load: LaggedReading<EngineLoad>;
+    private readonly stepLoop: StepLoop;
+    private readonly loadSample: LaggedReading<EngineLoad>;
     private readonly server: StandinServer;
-    /** Memory, in positions of one layer. */
-    private readonly layerPositions: number;
+    /** Memory capacity, in positions of one layer. */
+    private readonly memoryLayerPositions: number;
 
     private constructor(options: EngineStandinOptions, clock: Clock) {
         const { modelLayers, checksFencing, weightLoadMilliseconds, maximumSequences } = options;
         this.options = options;
         this.record = ExecutionRecord.create(options.recordedRequests);
         const heldLayers = this.heldLayers = HeldLayers.create(options.layers);
-        this.layerPositions = options.memoryPositions
+        this.memoryLayerPositions = options.memoryPositions
             * (heldLayers.getCount() || Math.max(...Object.values(modelLayers)));
         const sequences = this.sequences = SequenceStore.create({
             clock,
             modelLayers,
             maximumSequences,
-            layerPositions: this.layerPositions,
+            layerPositions: this.memoryLayerPositions,
             idleMilliseconds: options.sequenceIdleMilliseconds,
         });
         this.orders = WeightOrders.create({ clock, heldLayers, modelLayers, checksFencing, weightLoadMilliseconds });
@@ -72,8 +72,8 @@
         });
         const prefixCache = PrefixCache.create(options.prefixCacheBlocks, this.cacheEvents);
         const runner = PassRunner.create({ modelLayers, heldLayers, sequences, prefixCache, record, faults });
-        this.loop = StepLoop.create({ clock, engine: options, runner, record, faults });
-        this.load = LaggedReading.create({
+        this.stepLoop = StepLoop.create({ clock, engine: options, runner, record, faults });
+        this.loadSample = LaggedReading.create({
             clock,
             intervalMilliseconds: options.loadLagMilliseconds,
             read: () => this.readLoad(),
@@ -86,25 +86,24 @@
     }
 
     /**
-     * Creates an engine that does not listen yet.
-     * @param options - Name and layers, and what differs from the defaults.
-     * @param clock - Source of time.
+     * Creates an engine. Call `listen` to start it.
+     * @param options - Required options, and overrides of the defaults.
      */
     static create(options: RequiredOptions & Partial<EngineStandinOptions>, clock: Clock = systemClock): EngineStandin {
-        // Without a prototype, so that a model that a message names is never found by an inherited name.
+        // Without a prototype, so that a model name in a message, such as "toString", never matches an inherited property.
         const modelLayers: Record<string, number> = Object.assign(Object.create(null), options.modelLayers);
         return new EngineStandin({ ...engineStandinDefaults, ...options, modelLayers }, clock);
     }
 
-    /** Starts to listen. */
+    /** Starts listening. */
     listen(): Promise<void> {
         return this.server.listen();
     }
 
     /** Stops the engine and closes all its connections. */
     close(): Promise<void> {
-        this.loop.close();
-        this.load.close();
+        this.stepLoop.close();
+        this.loadSample.close();
         this.orders.close();
         return this.server.close();
     }
@@ -114,7 +113,7 @@
         return this.server.getAddress();
     }
 
-    /** Adds a batch's passes and answers each on the batch's own response as it completes. */
+    /** Adds the passes of a batch and streams each result on the batch's response when the pass completes. */
     addBatch(batch: PassBatch, exchange: StandinExchange): void {
         const isReset = this.faults.takeReset();
         let remaining = batch.passes.length;
@@ -134,13 +133,13 @@
             exchange.endLines();
         }
         for (const pass of batch.passes) {
-            this.loop.addPass(pass, sendResult);
+            this.stepLoop.addPass(pass, sendResult);
         }
     }
 
-    /** Gets the status, whose load figures lag. */
+    /** Gets the status. Its load values may be out of date by up to `loadLagMilliseconds`. */
     getStatus(): EngineStatus {
-        const { value, ageMilliseconds } = this.load.get();
+        const { value, ageMilliseconds } = this.loadSample.get();
         return {
             endpoint: this.options.name,
             leaving: this.faults.leaving,
@@ -152,7 +151,7 @@
         };
     }
 
-    /** Applies faults that a test asks for; those that it does not name stay as they are. */
+    /** Sets the faults given by a test; the others keep their values. */
     setFaults(change: z.infer<typeof messageSchemas.faults>): void {
         this.faults.apply(change);
         if (change.freezeExistingConnections) {
@@ -160,14 +159,14 @@
         }
         if (change.freeze !== undefined) {
             this.server.gate.setFrozen(change.freeze);
-            this.loop.resume();
+            this.stepLoop.resume();
         }
     }
 
     private readLoad(): EngineLoad {
         const heldLayers = Math.max(1, this.heldLayers.getCount());
         return {
-            queue: this.loop.getQueue(),
+            queue: this.stepLoop.getQueue(),
             sequences: this.sequences.getCount(),
             freePositions: Math.floor(this.sequences.getFreeLayerPositions() / heldLayers),
         };
--- a/standins/engine/engineStandinDefaults.ts
+++ b/standins/engine/engineStandinDefaults.ts
@@ -1,6 +1,6 @@
 import type { EngineStandinOptions } from "./engineStandinOptions.ts";
 
-/** Defaults of all options but the name and the layers. */
+/** Defaults of all options except the name and the layers. */
 export const engineStandinDefaults: Omit<EngineStandinOptions, "name" | "layers" | "modelLayers"> = {
     port: 0,
     stepMillisecondsPerLayer: 0.05,
--- a/standins/engine/engineStandinOptions.ts
+++ b/standins/engine/engineStandinOptions.ts
@@ -3,42 +3,42 @@
 /** Options of the model engine stand-in. */
 export interface EngineStandinOptions {
     name: string;
-    /** TCP port on 127.0.0.1; 0 for any free one. */
+    /** TCP port on 127.0.0.1; 0 for any free port. */
     port: number;
-    /** Layer ranges held at start. */
+    /** Layer ranges that the engine holds when it starts. */
     layers: LayerRange[];
-    /** Layers of each whole model, by the model's name. */
+    /** Total number of layers of each model, by model name. */
     modelLayers: Record<string, number>;
-    /** Milliseconds of a step for each distinct layer that it runs. */
+    /** Time that a step takes for each distinct layer that it runs, in milliseconds. */
     stepMillisecondsPerLayer: number;
-    /** Milliseconds of a step besides its layers. */
+    /** Fixed time of a step, in milliseconds. */
     stepBaseMilliseconds: number;
-    /** Milliseconds of a step for each position after a pass's first, unless its prefix is cached. */
+    /** Time that a step takes for each uncached position after the first position of a pass, in milliseconds. */
     prefillMillisecondsPerPosition: number;
-    /** Most positions of one step, in passes of any length; one longer pass runs alone. */
+    /** Maximum number of positions in one step. A pass with more positions runs alone. */
     maximumBatchPositions: number;
-    /** Sequences that hold memory at the same time. */
+    /** Maximum number of sequences that hold memory at the same time. */
     maximumSequences: number;
-    /** Positions that fit in memory, each through all the layers that the engine holds at start. */
+    /** Number of positions that fit in memory, each for all layers that the engine holds when it starts. */
     memoryPositions: number;
-    /** Whether orders with an old fencing number are refused. */
+    /** Whether the engine refuses orders with an old fencing number. */
     checksFencing: boolean;
-    /** Interval at which the load figures are taken, in milliseconds; 0 for live figures. */
+    /** Interval at which the load values are sampled, in milliseconds; 0 for current values. */
     loadLagMilliseconds: number;
-    /** Time to load a range's weights, in milliseconds. */
+    /** Time to load the weights of a layer range, in milliseconds. */
     weightLoadMilliseconds: number;
-    /** One-way network delay added to requests and to answers, in milliseconds. */
+    /** One-way network delay added to requests and to responses, in milliseconds. */
     hopDelayMilliseconds: number;
     /** Idle time after which a sequence is dropped, in milliseconds. */
     sequenceIdleMilliseconds: number;
-    /** Blocks of 16 tokens in the prefix cache; at least 1. */
+    /** Capacity of the prefix cache, in blocks of 16 tokens; at least 1. */
     prefixCacheBlocks: number;
-    /** Time from a cache event to its publication, in milliseconds. */
+    /** Delay before a cache event is published, in milliseconds. */
     cacheEventDelayMilliseconds: number;
-    /** About one cache event in so many is lost; 0 for none. */
+    /** Average number of cache events per lost event; 0 if none are lost. */
     cacheEventGapEvery: number;
-    /** Requests that the record of executed work keeps; the oldest are forgotten. */
+    /** Maximum number of requests in the execution record; the oldest are removed. */
     recordedRequests: number;
-    /** Seed of the choice of lost cache events. */
+    /** Seed that determines which cache events are lost. */
     seed: number;
 }
--- a/standins/engine/executionRecord.ts
+++ b/standins/engine/executionRecord.ts
@@ -1,6 +1,6 @@
 import type { Pass } from "../../src/connection/endpoint/engineProtocol.ts";
 
-/** Positions that ran through the same layers, one after another. */
+/** Consecutive positions that ran through the same layers. */
 interface ExecutionRun {
     attempt: number;
     model: string;
@@ -11,23 +11,23 @@
     rebuild: boolean;
 }
 
-/** Counts of what an engine has done. */
+/** Counters of an engine's work. */
 interface ExecutionSummary {
     requests: number;
     steps: number;
-    /** Passes that ran, in full or in part. */
+    /** Passes that ran completely or partially. */
     passes: number;
     positions: number;
-    /** Positions times layers, without rebuilds. */
+    /** Positions multiplied by layers, without rebuilds. */
     layerPositions: number;
     rebuildLayerPositions: number;
-    /** Passes answered from a kept or coming result. */
+    /** Passes that were sent again and got the stored or pending result of the first one. */
     repeatedPasses: number;
-    /** Refused passes by reason. */
+    /** Number of refused passes by reason. */
     refused: Record<string, number>;
 }
 
-/** What an engine has executed, for tests to check. */
+/** Record of the work that an engine has executed, for checks in tests. */
 export class ExecutionRecord {
     readonly summary: ExecutionSummary = {
         requests: 0,
@@ -48,13 +48,13 @@
 
     /**
      * Creates an empty record.
-     * @param maximumRequests - Requests that it keeps; the oldest are forgotten.
+     * @param maximumRequests - Number of requests to keep; the oldest are removed.
      */
     static create(maximumRequests: number): ExecutionRecord {
         return new ExecutionRecord(maximumRequests);
     }
 
-    /** Adds positions that ran. */
+    /** Adds positions that ran, and merges them with the previous run if they continue it. */
     addRun(pass: Pass, count: number, layerEnd: number): void {
         const { request, attempt, model, position, layerStart, rebuild = false } = pass;
         const runs = this.runs.get(request) ?? this.addRequest(request);
@@ -72,7 +72,7 @@
         runs.push({ attempt, model, position, count, layerStart, layerEnd, rebuild });
     }
 
-    /** Counts a refusal. */
+    /** Counts a refused pass. */
     addRefusal(reason: string): void {
         this.summary.refused[reason] = (this.summary.refused[reason] ?? 0) + 1;
     }
@@ -82,7 +82,7 @@
         return this.runs.get(request) ?? [];
     }
 
-    /** Gets the runs of all requests, by request. */
+    /** Gets the runs of all requests, by request ID. */
     getAllRuns(): Record<string, ExecutionRun[]> {
         return Object.fromEntries(this.runs);
     }
--- a/standins/engine/heldLayers.ts
+++ b/standins/engine/heldLayers.ts
@@ -1,12 +1,12 @@
 import type { LayerRange } from "../../src/version/configuration.ts";
 
-/** The layers that an engine holds. */
+/** Set of the layers that an engine holds. */
 export class HeldLayers {
-    private readonly held = new Map<string, boolean[]>();
+    private readonly flagsByModel = new Map<string, boolean[]>();
 
     private constructor() {}
 
-    /** Creates a set of layers from ranges. */
+    /** Creates a set from layer ranges. */
     static create(ranges: LayerRange[]): HeldLayers {
         const layers = new HeldLayers();
         for (const range of ranges) {
@@ -15,18 +15,18 @@
         return layers;
     }
 
-    /** Adds a range or takes it away. */
-    setHeld(range: LayerRange, held: boolean): void {
-        const flags = this.held.get(range.model) ?? [];
-        this.held.set(range.model, flags);
+    /** Adds or removes a range. */
+    setHeld(range: LayerRange, isHeld: boolean): void {
+        const flags = this.flagsByModel.get(range.model) ?? [];
+        this.flagsByModel.set(range.model, flags);
         for (let layer = range.start; layer < range.end; layer++) {
-            flags[layer] = held;
+            flags[layer] = isHeld;
         }
     }
 
-    /** Whether all layers of a range are held. */
+    /** Gets if all layers of a range are held. */
     hasRange(range: LayerRange): boolean {
-        const flags = this.held.get(range.model) ?? [];
+        const flags = this.flagsByModel.get(range.model) ?? [];
         for (let layer = range.start; layer < range.end; layer++) {
             if (!flags[layer]) {
                 return false;
@@ -35,10 +35,10 @@
         return true;
     }
 
-    /** Gets the held layers as ranges; ranges that touch are one. */
+    /** Gets the held layers as ranges. Adjacent ranges are merged. */
     getRanges(): LayerRange[] {
         const ranges: LayerRange[] = [];
-        for (const [model, flags] of this.held) {
+        for (const [model, flags] of this.flagsByModel) {
             for (let layer = 0; layer < flags.length; layer++) {
                 const last = ranges.at(-1);
                 if (!flags[layer]) {
--- a/standins/engine/http/connectionGate.ts
+++ b/standins/engine/http/connectionGate.ts
@@ -1,65 +1,65 @@
 import type { Socket } from "node:net";
 
 /**
- * Decides what becomes of the traffic of each connection: it passes, waits while the process is frozen, or vanishes
- * where something between the two ends has lost track of the connection.
+ * Injects connection faults: runs the actions of a connection, defers them while the process is frozen, or drops them
+ * on silent connections, as a network device that has lost the connection's state does.
  */
 export class ConnectionGate {
-    private readonly open = new Set<Socket>();
-    private readonly silent = new WeakSet<Socket>();
-    private held: { socket: Socket; action: () => void; }[] = [];
-    private frozen = false;
+    private readonly openSockets = new Set<Socket>();
+    private readonly silentSockets = new WeakSet<Socket>();
+    private deferredActions: { socket: Socket; action: () => void; }[] = [];
+    private isFrozen = false;
 
     private constructor() {}
 
-    /** Creates a gate that lets everything pass. */
+    /** Creates a gate without faults. */
     static create(): ConnectionGate {
         return new ConnectionGate();
     }
 
-    /** Adds a connection until it closes. */
+    /** Tracks a connection until it closes. */
     addConnection(socket: Socket): void {
-        this.open.add(socket);
-        socket.on("close", () => this.open.delete(socket));
+        this.openSockets.add(socket);
+        socket.on("close", () => this.openSockets.delete(socket));
         socket.on("error", () => socket.destroy());
     }
 
-    /** Runs an action on a connection now, after the thaw, or never. */
+    /** Runs an action at once, after the connections are unfrozen, or never if the connection is silent. */
     pass(socket: Socket, action: () => void): void {
-        if (this.silent.has(socket)) {
+        if (this.silentSockets.has(socket)) {
             return;
         }
-        if (this.frozen) {
-            this.held.push({ socket, action });
+        if (this.isFrozen) {
+            this.deferredActions.push({ socket, action });
             return;
         }
         action();
     }
 
-    /** Freezes all connections, or thaws them and runs what they held, in its order. */
-    setFrozen(frozen: boolean): void {
-        this.frozen = frozen;
-        if (frozen) {
+    /** Freezes all connections, or unfreezes them and runs the deferred actions in order. */
+    setFrozen(isFrozen: boolean): void {
+        this.isFrozen = isFrozen;
+        if (isFrozen) {
             return;
         }
-        const held = this.held;
-        this.held = [];
-        for (const { socket, action } of held) {
+        const deferredActions = this.deferredActions;
+        this.deferredActions = [];
+        for (const { socket, action } of deferredActions) {
             this.pass(socket, action);
         }
     }
 
-    /** Makes the connections that are open now silent for good; new ones work. */
+    /** Permanently silences the open connections. New connections work. */
     silenceOpenConnections(): void {
-        for (const socket of this.open) {
-            this.silent.add(socket);
+        for (const socket of this.openSockets) {
+            this.silentSockets.add(socket);
         }
     }
 
     /** Closes all connections. */
     closeAll(): void {
-        this.held = [];
-        for (const socket of this.open) {
+        this.deferredActions = [];
+        for (const socket of this.openSockets) {
             socket.destroy();
         }
     }
--- a/standins/engine/http/parseBody.ts
+++ b/standins/engine/http/parseBody.ts
@@ -1,22 +1,18 @@
 import { z } from "zod";
 import { Err, Ok, type Result } from "../../../src/result.ts";
 
-/**
- * Parses a JSON body and checks its shape.
- * @param body - Body as received.
- * @param schema - Shape of the value.
- */
+/** Parses a JSON body and validates it against a schema. The error is a message for the client. */
 export function parseBody<T>(body: Buffer, schema: z.ZodType<T>): Result<T, string> {
     let value: unknown;
     try {
         value = JSON.parse(body.toString("utf8"));
     }
     catch {
-        return Err("The body is not JSON; send one JSON value in UTF-8.");
+        return Err("The body is not valid JSON. Send one JSON value in UTF-8.");
     }
     const parsed = schema.safeParse(value);
     if (!parsed.success) {
-        return Err(`The body has a wrong shape; correct it: ${z.prettifyError(parsed.error)}`);
+        return Err(`The body does not match the schema: ${z.prettifyError(parsed.error)}`);
     }
     return Ok(parsed.data);
 }
--- a/standins/engine/http/standinExchange.ts
+++ b/standins/engine/http/standinExchange.ts
@@ -7,13 +7,13 @@
     response: ServerResponse;
     body: Buffer;
     gate: ConnectionGate;
-    /** One-way delay of answers, in milliseconds. */
+    /** One-way delay of responses, in milliseconds. */
     hopDelayMilliseconds: number;
-    /** Whether the call is for the test's control and goes past all faults. */
+    /** Whether the request controls the stand-in and bypasses all faults. */
     isControl: boolean;
 }
 
-/** One HTTP request that has arrived in full, and its answer. */
+/** A completely received HTTP request and its response. */
 export class StandinExchange {
     readonly method: string;
     readonly path: string;
@@ -39,10 +39,8 @@
     }
 
     /**
-     * Sends a whole JSON answer.
-     * @param status - HTTP status.
-     * @param value - Value of the body.
-     * @param headers - Further headers.
+     * Sends a complete JSON response.
+     * @param headers - Additional headers.
      */
     sendJson(status: number, value: unknown, headers: OutgoingHttpHeaders = {}): void {
         this.deliver(response => {
@@ -51,7 +49,7 @@
         });
     }
 
-    /** Starts an answer of one JSON value a line. */
+    /** Starts a streamed response with one JSON value per line. */
     startLines(): void {
         this.deliver(response => {
             response.writeHead(200, { "content-type": "application/x-ndjson" });
@@ -59,17 +57,17 @@
         });
     }
 
-    /** Sends one line. */
+    /** Sends a value as one line of the streamed response. */
     sendLine(value: unknown): void {
         this.deliver(response => void response.write(JSON.stringify(value) + "\n"));
     }
 
-    /** Ends the lines. */
+    /** Ends the streamed response. */
     endLines(): void {
         this.deliver(response => void response.end());
     }
 
-    /** Sends half a line and then destroys the connection. */
+    /** Sends half of a line and then destroys the connection. */
     breakLine(value: unknown): void {
         const line = JSON.stringify(value);
         this.deliver(response => {
@@ -77,7 +75,7 @@
         });
     }
 
-    /** Destroys the connection without an answer. */
+    /** Destroys the connection without a response. */
     reset(): void {
         this.deliver(response => void response.socket?.destroy());
     }
--- a/standins/engine/http/standinServer.ts
+++ b/standins/engine/http/standinServer.ts
@@ -7,24 +7,24 @@
 
 /** Options of {@link StandinServer}. */
 interface StandinServerOptions {
-    /** TCP port on 127.0.0.1; 0 for any free one. */
+    /** TCP port on 127.0.0.1; 0 for any free port. */
     port: number;
-    /** One-way delay of requests and answers, in milliseconds. */
+    /** One-way delay of requests and responses, in milliseconds. */
     hopDelayMilliseconds: number;
-    /** Answers one request; what it throws becomes status 500. */
+    /** Handles a request. A thrown error results in status 500. */
     handle(exchange: StandinExchange): void;
 }
 
-/** An HTTP/1.1 server on 127.0.0.1 whose connections can be frozen or made silent. Paths under `/standin/` never are. */
+/** HTTP/1.1 server on 127.0.0.1 whose connections can be frozen or silenced. Faults don't affect paths below `/standin/`. */
 export class StandinServer {
-    /** Decides what becomes of each connection's traffic. */
+    /** Injects connection faults. */
     readonly gate = ConnectionGate.create();
     private readonly server: Server;
     private readonly options: StandinServerOptions;
 
     private constructor(options: StandinServerOptions) {
         this.options = options;
-        this.server = createServer((request, response) => this.receive(request, response));
+        this.server = createServer((request, response) => this.receiveRequest(request, response));
         this.server.requestTimeout = 0;
         this.server.headersTimeout = 0;
         this.server.keepAliveTimeout = 0;
@@ -32,12 +32,12 @@
         this.server.on("clientError", (_error, socket) => socket.destroy());
     }
 
-    /** Creates a server that does not listen yet. */
+    /** Creates a server. Call `listen` to start it. */
     static create(options: StandinServerOptions): StandinServer {
         return new StandinServer(options);
     }
 
-    /** Starts to listen. */
+    /** Starts listening. */
     listen(): Promise<void> {
         return new Promise((resolve, reject) => {
             this.server.once("error", reject);
@@ -57,12 +57,12 @@
     getAddress(): string {
         const address = this.server.address() as AddressInfo | null;
         if (!address) {
-            throw new Error("The stand-in does not listen; call listen first.");
+            throw new Error("The stand-in is not listening. Call listen() first.");
         }
         return `127.0.0.1:${address.port}`;
     }
 
-    private receive(request: IncomingMessage, response: ServerResponse): void {
+    private receiveRequest(request: IncomingMessage, response: ServerResponse): void {
         const chunks: Buffer[] = [];
         let bytes = 0;
         request.on("error", () => request.socket.destroy());
@@ -77,12 +77,12 @@
             }
         });
         request.on("end", () => {
-            this.enter(request, response, bytes <= maximumBodyBytes ? Buffer.concat(chunks) : undefined);
+            this.dispatch(request, response, bytes <= maximumBodyBytes ? Buffer.concat(chunks) : undefined);
         });
     }
 
-    /** Lets a request in through the delay and the gate. */
-    private enter(request: IncomingMessage, response: ServerResponse, body: Buffer | undefined): void {
+    /** Handles a request after the network delay, subject to the faults of the gate. */
+    private dispatch(request: IncomingMessage, response: ServerResponse, body: Buffer | undefined): void {
         const { hopDelayMilliseconds } = this.options;
         const isControl = request.url?.startsWith("/standin/") ?? false;
         const gate = this.gate;
@@ -117,5 +117,5 @@
 }
 
 function sendTooLarge(exchange: StandinExchange): void {
-    exchange.sendJson(413, { error: `The body is too large; send at most ${maximumBodyBytes} bytes.` });
+    exchange.sendJson(413, { error: `The body is too large. Send at most ${maximumBodyBytes} bytes.` });
 }
--- a/standins/engine/laggedReading.ts
+++ b/standins/engine/laggedReading.ts
@@ -1,41 +1,41 @@
 import type { Clock, TimerHandle } from "../../src/process/clock.ts";
 
 /** Options of {@link LaggedReading}. */
-interface LaggedReadingOptions<T> {
+interface PeriodicSampleOptions<T> {
     clock: Clock;
-    /** Interval between two readings, in milliseconds; 0 for a new one at each call. */
+    /** Interval between two samples, in milliseconds; 0 to read the value at each call. */
     intervalMilliseconds: number;
     read(): T;
 }
 
-/** Figures that are taken at intervals and are old in between. */
+/** A value that is sampled at intervals and stays the same in between. */
 export class LaggedReading<T> {
-    private readonly options: LaggedReadingOptions<T>;
+    private readonly options: PeriodicSampleOptions<T>;
     private value: T;
-    private readingTime: number;
+    private sampleTime: number;
     private timer: TimerHandle | undefined;
 
-    private constructor(options: LaggedReadingOptions<T>) {
+    private constructor(options: PeriodicSampleOptions<T>) {
         this.options = options;
         this.value = options.read();
-        this.readingTime = options.clock.getMonotonicTime();
+        this.sampleTime = options.clock.getMonotonicTime();
         this.schedule();
     }
 
-    /** Creates a reading and takes the first figures. */
-    static create<T>(options: LaggedReadingOptions<T>): LaggedReading<T> {
+    /** Takes the first sample and schedules the next ones. */
+    static create<T>(options: PeriodicSampleOptions<T>): LaggedReading<T> {
         return new LaggedReading(options);
     }
 
-    /** Gets the last figures and their age in milliseconds. */
+    /** Gets the last sample and its age in milliseconds. */
     get(): { value: T; ageMilliseconds: number; } {
         if (this.options.intervalMilliseconds === 0) {
             return { value: this.options.read(), ageMilliseconds: 0 };
         }
-        return { value: this.value, ageMilliseconds: this.options.clock.getMonotonicTime() - this.readingTime };
+        return { value: this.value, ageMilliseconds: this.options.clock.getMonotonicTime() - this.sampleTime };
     }
 
-    /** Takes no more figures. */
+    /** Stops sampling. */
     close(): void {
         this.timer?.cancel();
     }
@@ -47,7 +47,7 @@
         }
         this.timer = clock.setTimer(intervalMilliseconds, () => {
             this.value = read();
-            this.readingTime = clock.getMonotonicTime();
+            this.sampleTime = clock.getMonotonicTime();
             this.schedule();
         });
     }
--- a/standins/engine/main.ts
+++ b/standins/engine/main.ts
@@ -9,42 +9,69 @@
 
 const parsed = yargs(process.argv.slice(2))
     .option("name", { type: "string", demandOption: true, description: "Name of the endpoint." })
-    .option("port", numberOption(defaults.port, "TCP port on 127.0.0.1; 0 for any."))
+    .option("port", numberOption(defaults.port, "TCP port on 127.0.0.1; 0 for any free port."))
     .option("layers", {
         type: "string",
         array: true,
         default: [],
-        description: "Held layers, as MODEL:0-16; repeatable.",
+        description: "Layers that the engine holds, as MODEL:0-16; repeatable.",
     })
     .option("model-layers", {
         type: "string",
         array: true,
         demandOption: true,
-        description: "Whole models, as MODEL:32.",
+        description: "Number of layers of a model, as MODEL:32; repeatable.",
     })
-    .option("step-milliseconds-per-layer", numberOption(defaults.stepMillisecondsPerLayer, "Time of a layer."))
-    .option("step-base-milliseconds", numberOption(defaults.stepBaseMilliseconds, "Time of a step besides its layers."))
+    .option("step-milliseconds-per-layer", numberOption(defaults.stepMillisecondsPerLayer, "Time of a step per layer."))
+    .option("step-base-milliseconds", numberOption(defaults.stepBaseMilliseconds, "Fixed time of a step."))
     .option(
         "prefill-milliseconds-per-position",
-        numberOption(defaults.prefillMillisecondsPerPosition, "Time of each further position of a pass."),
+        numberOption(
+            defaults.prefillMillisecondsPerPosition,
+            "Time of a step per uncached position after the first of a pass.",
+        ),
+    )
+    .option(
+        "maximum-batch-positions",
+        numberOption(defaults.maximumBatchPositions, "Maximum number of positions in a step."),
+    )
+    .option("maximum-sequences", numberOption(defaults.maximumSequences, "Maximum number of sequences in memory."))
+    .option(
+        "memory-positions",
+        numberOption(defaults.memoryPositions, "Number of positions that fit in memory, for all layers."),
     )
-    .option("maximum-batch-positions", numberOption(defaults.maximumBatchPositions, "Most positions of a step."))
-    .option("maximum-sequences", numberOption(defaults.maximumSequences, "Most sequences that hold memory."))
-    .option("memory-positions", numberOption(defaults.memoryPositions, "Positions that fit through all held layers."))
     .option("checks-fencing", {
         type: "boolean",
         default: defaults.checksFencing,
-        description: "Whether orders with an old fencing number are refused.",
+        description: "Refuse orders with an old fencing number.",
     })
-    .option("load-lag-milliseconds", numberOption(defaults.loadLagMilliseconds, "Interval of the load figures."))
-    .option("weight-load-milliseconds", numberOption(defaults.weightLoadMilliseconds, "Time to load a range."))
+    .option(
+        "load-lag-milliseconds",
+        numberOption(defaults.loadLagMilliseconds, "Interval at which the load is sampled."),
+    )
+    .option("weight-load-milliseconds", numberOption(defaults.weightLoadMilliseconds, "Time to load a layer range."))
     .option("hop-delay-milliseconds", numberOption(defaults.hopDelayMilliseconds, "One-way network delay."))
-    .option("sequence-idle-milliseconds", numberOption(defaults.sequenceIdleMilliseconds, "Life of idle sequences."))
-    .option("prefix-cache-blocks", numberOption(defaults.prefixCacheBlocks, "Blocks of 16 tokens; at least 1."))
-    .option("cache-event-delay-milliseconds", numberOption(defaults.cacheEventDelayMilliseconds, "Lateness of events."))
-    .option("cache-event-gap-every", numberOption(defaults.cacheEventGapEvery, "About one event in so many is lost."))
-    .option("recorded-requests", numberOption(defaults.recordedRequests, "Requests that the record keeps."))
-    .option("seed", numberOption(defaults.seed, "Seed of the lost events."))
+    .option(
+        "sequence-idle-milliseconds",
+        numberOption(defaults.sequenceIdleMilliseconds, "Idle time until a sequence is dropped."),
+    )
+    .option(
+        "prefix-cache-blocks",
+        numberOption(defaults.prefixCacheBlocks, "Prefix cache size in blocks of 16 tokens; at least 1."),
+    )
+    .option(
+        "cache-event-delay-milliseconds",
+        numberOption(defaults.cacheEventDelayMilliseconds, "Delay of cache events."),
+    )
+    .option(
+        "cache-event-gap-every",
+        numberOption(defaults.cacheEventGapEvery, "Average number of cache events per lost event; 0 if none are lost."),
+    )
+    .option(
+        "recorded-requests",
+        numberOption(defaults.recordedRequests, "Maximum number of requests in the execution record."),
+    )
+    .option("seed", numberOption(defaults.seed, "Seed that determines which cache events are lost."))
     .strict()
     .parseSync();
 
--- a/standins/engine/messageSchemas.ts
+++ b/standins/engine/messageSchemas.ts
@@ -19,21 +19,21 @@
     rebuild: z.boolean().optional(),
 })
     .refine(value => value.layerStart < value.layerEnd, "The layer range is empty.")
-    .refine(value => value.text === undefined || value.position === 0, "Text goes only with position 0.")
+    .refine(value => value.text === undefined || value.position === 0, "Text is only allowed at position 0.")
     .refine(
         value => value.layerStart > 0 || value.text !== undefined || (value.tokens?.length ?? 0) > 0,
-        "A pass from layer 0 needs text or tokens.",
+        "A pass that starts at layer 0 requires text or tokens.",
     )
     .refine(
         value =>
             value.layerStart === 0 || ((value.hidden?.length ?? 0) > 0 && !value.tokens && value.text === undefined),
-        "A pass from a later layer needs hidden, and neither text nor tokens.",
+        "A pass that starts at a later layer requires hidden and must not have text or tokens.",
     );
 
-/** Shapes of the bodies that the engine stand-in takes. */
+/** Schemas of the request bodies that the engine stand-in accepts. */
 export const messageSchemas = {
     passBatch: z.object({ passes: z.array(pass) }),
-    /** Also the body of an export. */
+    /** Also used for cache exports. */
     cancelOrder: z.object({ request: z.string().min(1), attempt: count }),
     cacheBlob: z.object({
         request: z.string().min(1),
--- a/standins/engine/prefixCache.ts
+++ b/standins/engine/prefixCache.ts
@@ -2,9 +2,9 @@
 import type { CacheEventLog } from "./cacheEventLog.ts";
 import { modelFunction } from "./model/modelFunction.ts";
 
-const blockPositions = 16;
+const positionsPerBlock = 16;
 
-/** A bounded cache of prompt prefixes, in blocks of 16 positions; the least recently used block goes first. */
+/** Cache of prompt prefixes in blocks of 16 positions. It evicts the least recently used block when it is full. */
 export class PrefixCache {
     private readonly blocks: LRUCache<string, true>;
     private readonly events: CacheEventLog;
@@ -23,19 +23,19 @@
 
     /**
      * Creates an empty cache.
-     * @param maximumBlocks - Blocks that fit; at least 1.
-     * @param events - Log that learns what was stored and evicted.
+     * @param maximumBlocks - Capacity in blocks; at least 1.
+     * @param events - Log for stored and evicted blocks.
      */
     static create(maximumBlocks: number, events: CacheEventLog): PrefixCache {
         return new PrefixCache(maximumBlocks, events);
     }
 
     /**
-     * Looks a sequence's first inputs up and stores all their whole blocks.
+     * Looks up the prefix of a sequence and stores all its complete blocks.
      * @param model - Name of the model.
-     * @param layerStart - First layer; the inputs are tokens at layer 0 and activations later.
+     * @param layerStart - First layer. The inputs are tokens at layer 0 and activations at later layers.
      * @param inputs - Inputs from position 0.
-     * @returns Leading positions that were cached.
+     * @returns Number of leading positions that were already cached.
      */
     use(model: string, layerStart: number, inputs: number[]): number {
         let cachedPositions = 0;
@@ -43,12 +43,12 @@
         hash = modelFunction.mix(hash, layerStart);
         for (let index = 0; index < inputs.length; index++) {
             hash = modelFunction.mix(hash, inputs[index] ?? 0);
-            if ((index + 1) % blockPositions !== 0) {
+            if ((index + 1) % positionsPerBlock !== 0) {
                 continue;
             }
             const prefixHash = (hash >>> 0).toString(16).padStart(8, "0");
             if (this.blocks.get(prefixHash)) {
-                cachedPositions = cachedPositions === index + 1 - blockPositions ? index + 1 : cachedPositions;
+                cachedPositions = cachedPositions === index + 1 - positionsPerBlock ? index + 1 : cachedPositions;
             }
             else {
                 this.blocks.set(prefixHash, true);
--- a/standins/engine/referenceModel.ts
+++ b/standins/engine/referenceModel.ts
@@ -1,32 +1,32 @@
 import { modelFunction } from "./model/modelFunction.ts";
 
-/** A question to the reference model. */
-interface ReferenceQuestion {
-    /** Layers of the whole model. */
+/** Input of the reference model. */
+interface ReferenceInput {
+    /** Total number of layers of the model. */
     modelLayers: number;
     prompt: string;
-    /** Most tokens of the answer. */
+    /** Maximum number of tokens in the answer. */
     maximumTokens: number;
 }
 
-/** The whole answer of the reference model. */
+/** Complete answer of the reference model. */
 interface ReferenceAnswer {
-    /** Tokens of the answer, without the one that ends it. */
+    /** Tokens of the answer, without the end token. */
     tokens: number[];
     text: string;
-    /** Whether the model ended the answer before `maximumTokens`. */
+    /** Whether the model ended the answer before `maximumTokens` was reached. */
     ended: boolean;
 }
 
 /**
- * Computes an answer in one place, so that a wrong, missing or doubled token of a split run shows.
- * @param question - Prompt and sizes.
+ * Computes an answer without splitting the model. Tests compare it with the answer of several engines to detect wrong,
+ * missing or duplicate tokens.
  */
-export function referenceAnswer(question: ReferenceQuestion): ReferenceAnswer {
-    const digests = new Int32Array(question.modelLayers).fill(modelFunction.emptyDigest);
+export function referenceAnswer(input: ReferenceInput): ReferenceAnswer {
+    const digests = new Int32Array(input.modelLayers).fill(modelFunction.emptyDigest);
     const tokens: number[] = [];
-    let inputs = modelFunction.tokenize(question.prompt);
-    while (tokens.length < question.maximumTokens) {
+    let inputs = modelFunction.tokenize(input.prompt);
+    while (tokens.length < input.maximumTokens) {
         const token = modelFunction.getToken(runAllLayers(digests, inputs));
         if (modelFunction.isEnd(token)) {
             return { tokens, text: tokens.map(modelFunction.getText).join(""), ended: true };
@@ -37,7 +37,7 @@
     return { tokens, text: tokens.map(modelFunction.getText).join(""), ended: false };
 }
 
-/** Runs tokens through all layers, position by position, and gets the last output of the last layer. */
+/** Runs tokens through all layers and gets the output of the last layer at the last position. */
 function runAllLayers(digests: Int32Array, tokens: number[]): number {
     let value = 0;
     for (const token of tokens) {
--- a/standins/engine/sequence/sequence.ts
+++ b/standins/engine/sequence/sequence.ts
@@ -1,21 +1,21 @@
 import type { PassResult } from "../../../src/connection/endpoint/engineProtocol.ts";
 import { modelFunction } from "../model/modelFunction.ts";
 
-/** What identifies a sequence at an engine. */
+/** Identifies a sequence within an engine. */
 interface SequenceIdentity {
     request: string;
     attempt: number;
     model: string;
 }
 
-/** The KV cache of one attempt of a request: for each layer, how many positions it has seen and their digest. */
+/** KV cache of one attempt of a request: the number of processed positions and their digest for each layer. */
 export class Sequence {
     readonly identity: SequenceIdentity;
-    /** Positions that each layer has seen. */
+    /** Number of positions that each layer has processed. */
     readonly counts: Int32Array;
-    /** Digest of each layer's inputs. */
+    /** Digest of the inputs of each layer. */
     readonly digests: Int32Array;
-    /** Results of the passes that have run, by pass key. */
+    /** Results of the completed passes, by pass key. */
     readonly results = new Map<string, PassResult>();
     /** Monotonic time of the last use, in milliseconds. */
     lastUseTime: number;
@@ -28,16 +28,16 @@
     }
 
     /**
-     * Creates a sequence that has seen nothing.
+     * Creates an empty sequence.
      * @param identity - Request, attempt and model.
-     * @param layers - Layers of the whole model.
+     * @param layers - Total number of layers of the model.
      * @param now - Monotonic time in milliseconds.
      */
     static create(identity: SequenceIdentity, layers: number, now: number): Sequence {
         return new Sequence(identity, layers, now);
     }
 
-    /** Whether all layers of a range have seen exactly `position` positions. */
+    /** Gets if all layers of a range have processed exactly `position` positions. */
     isAt(position: number, layerStart: number, layerEnd: number): boolean {
         for (let layer = layerStart; layer < layerEnd; layer++) {
             if (this.counts[layer] !== position) {
@@ -47,7 +47,7 @@
         return true;
     }
 
-    /** Gets the sum over the layers of the positions seen. */
+    /** Gets the sum of the processed positions of all layers. */
     getLayerPositions(): number {
         let sum = 0;
         for (const count of this.counts) {
@@ -58,8 +58,8 @@
 
     /**
      * Runs inputs through a range of layers.
-     * @param inputs - Activations before the first layer, one a position.
-     * @returns Activations after the last layer, one a position.
+     * @param inputs - Activations before the first layer, one per position.
+     * @returns Activations after the last layer, one per position.
      */
     run(inputs: number[], layerStart: number, layerEnd: number): number[] {
         const values = inputs.slice();
--- a/standins/engine/sequence/sequenceStore.ts
+++ b/standins/engine/sequence/sequenceStore.ts
@@ -3,7 +3,7 @@
 import { Err, Ok, type Result } from "../../../src/result.ts";
 import { Sequence } from "./sequence.ts";
 
-const rememberedAttempts = 20000;
+const maximumTrackedAttempts = 20000;
 
 type Identity = Sequence["identity"];
 
@@ -12,18 +12,18 @@
     clock: Clock;
     modelLayers: Record<string, number>;
     maximumSequences: number;
-    /** Memory, in positions of one layer. */
+    /** Memory capacity, in positions of one layer. */
     layerPositions: number;
     idleMilliseconds: number;
 }
 
-/** The sequences that hold an engine's memory. */
+/** Sequences in the memory of an engine. */
 export class SequenceStore {
     private readonly options: SequenceStoreOptions;
     private readonly sequences = new Map<string, Sequence>();
     private readonly superseded = new Set<Sequence>();
-    private readonly closedAttempts = new LRUCache<string, true>({ max: rememberedAttempts });
-    private readonly newestAttempts = new LRUCache<string, number>({ max: rememberedAttempts });
+    private readonly closedAttempts = new LRUCache<string, true>({ max: maximumTrackedAttempts });
+    private readonly newestAttempts = new LRUCache<string, number>({ max: maximumTrackedAttempts });
     private usedLayerPositions = 0;
 
     private constructor(options: SequenceStoreOptions) {
@@ -35,7 +35,7 @@
         return new SequenceStore(options);
     }
 
-    /** Gets a sequence and marks it as used. */
+    /** Gets a sequence and updates its time of last use. */
     getSequence(identity: Identity): Sequence | undefined {
         const sequence = this.sequences.get(getKey(identity));
         if (sequence) {
@@ -44,7 +44,7 @@
         return sequence;
     }
 
-    /** Finds the sequence of an attempt, of whichever model. */
+    /** Finds the sequence of an attempt for any model. */
     findSequence(request: string, attempt: number): Sequence | undefined {
         for (const { identity } of this.sequences.values()) {
             if (identity.request === request && identity.attempt === attempt) {
@@ -54,23 +54,23 @@
         return undefined;
     }
 
-    /** Whether an attempt was cancelled or dropped, or a newer attempt has come. */
+    /** Gets if an attempt was cancelled, dropped or superseded by a newer attempt. */
     isClosed(identity: Identity): boolean {
         return this.closedAttempts.has(getAttemptKey(identity.request, identity.attempt))
             || (this.newestAttempts.get(getRequestKey(identity)) ?? 0) > identity.attempt;
     }
 
     /**
-     * Adds a sequence where it fits.
-     * @param identity - Request, attempt and model, which must be known.
-     * @param layerPositions - Memory that it needs at once, in positions of one layer.
+     * Adds a sequence if it fits in memory. Idle sequences are dropped before, and superseded ones if memory is short.
+     * @param identity - Request, attempt and model. The model must be known.
+     * @param layerPositions - Memory that the sequence requires at first, in positions of one layer.
      */
     addSequence(identity: Identity, layerPositions: number): Result<Sequence, "memory"> {
         this.dropIdle();
-        if (!this.hasRoom(layerPositions)) {
+        if (!this.hasCapacity(layerPositions)) {
             this.dropSuperseded();
         }
-        if (!this.hasRoom(layerPositions)) {
+        if (!this.hasCapacity(layerPositions)) {
             return Err("memory");
         }
         this.supersede(identity);
@@ -80,12 +80,12 @@
         return Ok(sequence);
     }
 
-    /** Counts memory that a sequence has taken, in positions of one layer. */
+    /** Adds to the used memory, in positions of one layer. */
     countUse(layerPositions: number): void {
         this.usedLayerPositions += layerPositions;
     }
 
-    /** Frees an attempt's memory; its later passes are refused. */
+    /** Cancels an attempt and frees its memory. Later passes of the attempt are refused. */
     cancel(request: string, attempt: number): void {
         this.closedAttempts.set(getAttemptKey(request, attempt), true);
         for (const model of Object.keys(this.options.modelLayers)) {
@@ -107,7 +107,7 @@
         return Math.max(0, this.options.layerPositions - this.usedLayerPositions);
     }
 
-    private hasRoom(layerPositions: number): boolean {
+    private hasCapacity(layerPositions: number): boolean {
         return this.sequences.size < this.options.maximumSequences
             && this.usedLayerPositions + layerPositions <= this.options.layerPositions;
     }
@@ -132,9 +132,9 @@
     }
 
     private dropIdle(): void {
-        const oldest = this.options.clock.getMonotonicTime() - this.options.idleMilliseconds;
+        const oldestUseTime = this.options.clock.getMonotonicTime() - this.options.idleMilliseconds;
         for (const sequence of this.sequences.values()) {
-            if (sequence.lastUseTime < oldest) {
+            if (sequence.lastUseTime < oldestUseTime) {
                 this.closedAttempts.set(getAttemptKey(sequence.identity.request, sequence.identity.attempt), true);
                 this.drop(sequence);
             }
--- a/standins/engine/step/passRunner.ts
+++ b/standins/engine/step/passRunner.ts
@@ -19,14 +19,14 @@
     faults: EngineFaults;
 }
 
-/** A result without what only the moment of its delivery tells. */
+/** Result of a pass and its prefill cost. The pass ID and queue length of the result are set on delivery. */
 interface PassOutcome {
     result: PassResult;
-    /** Positions that cost prefill time. */
+    /** Number of positions that take prefill time. */
     prefillPositions: number;
 }
 
-/** Checks passes and runs them on the sequences. */
+/** Validates passes and runs them on their sequences. */
 export class PassRunner {
     private readonly options: PassRunnerOptions;
 
@@ -39,7 +39,7 @@
         return new PassRunner(options);
     }
 
-    /** Gets the kept result of a pass that has run already. */
+    /** Gets the stored result of a pass that has already run. */
     getKeptResult(pass: Pass, key: string): PassResult | undefined {
         const { sequences } = this.options;
         return sequences.isClosed(pass) ? undefined : sequences.getSequence(getIdentity(pass))?.results.get(key);
@@ -59,8 +59,8 @@
             ? this.options.prefixCache.use(pass.model, pass.layerStart, inputs)
             : 0;
         const result = faults.takeFailure()
-            ? this.runInPart(sequence, pass, inputs)
-            : this.runInFull(sequence, pass, inputs);
+            ? this.runPartially(sequence, pass, inputs)
+            : this.runCompletely(sequence, pass, inputs);
         sequence.results.set(key, result);
         return { result, prefillPositions: Math.max(0, inputs.length - 1 - cachedPositions) };
     }
@@ -92,7 +92,7 @@
             : sequences.addSequence(getIdentity(pass), positions * (layerEnd - layerStart));
     }
 
-    private runInFull(sequence: Sequence, pass: Pass, inputs: number[]): PassResult {
+    private runCompletely(sequence: Sequence, pass: Pass, inputs: number[]): PassResult {
         const outputs = this.runLayers(sequence, pass, inputs, pass.layerEnd);
         const base = getResultBase(pass, inputs.length);
         if (pass.layerEnd < (this.options.modelLayers[pass.model] ?? 0)) {
@@ -108,8 +108,8 @@
         };
     }
 
-    /** Runs the first half of the layers and fails. */
-    private runInPart(sequence: Sequence, pass: Pass, inputs: number[]): PassResult {
+    /** Runs the first half of the layers and returns a failure. */
+    private runPartially(sequence: Sequence, pass: Pass, inputs: number[]): PassResult {
         const layerEnd = pass.layerStart + Math.ceil((pass.layerEnd - pass.layerStart) / 2);
         this.runLayers(sequence, pass, inputs, layerEnd);
         return { ...getResultBase(pass, 0), outcome: "failed" };
--- a/standins/engine/step/stepLoop.ts
+++ b/standins/engine/step/stepLoop.ts
@@ -7,10 +7,10 @@
 import type { PassRunner } from "./passRunner.ts";
 import type { WaitingPass } from "./waitingPass.ts";
 
-/** Most milliseconds by which late timers shorten, or early ones lengthen, the steps after them. */
-const maximumTimerDebtMilliseconds = 4;
-/** Shorter waits than this, in milliseconds, are not worth a timer. */
-const shortestTimerMilliseconds = 0.5;
+/** Limits how much the deviation of earlier timers shortens or lengthens later steps. */
+const maximumTimerDriftMilliseconds = 4;
+/** Shorter waits don't use a timer. */
+const minimumTimerMilliseconds = 0.5;
 
 /** Options of {@link StepLoop}. */
 interface StepLoopOptions {
@@ -21,16 +21,16 @@
     faults: EngineFaults;
 }
 
-/** Continuous batching: each step runs the passes that wait, the higher priority first, up to a limit of positions. */
+/** Continuous batching. Each step runs the waiting passes by descending priority, up to a maximum number of positions. */
 export class StepLoop {
     private readonly options: StepLoopOptions;
-    /** Passes that wait or whose step runs, by key. */
+    /** Passes that are waiting or part of the running step, by key. */
     private readonly pending = new Map<string, WaitingPass>();
     private waiting: WaitingPass[] = [];
-    private lastStepPasses = 0;
+    private lastStepPassCount = 0;
     private isBusy = false;
     private isClosed = false;
-    private timerDebt = 0;
+    private timerDriftMilliseconds = 0;
     private timer: TimerHandle | undefined;
 
     private constructor(options: StepLoopOptions) {
@@ -43,38 +43,37 @@
     }
 
     /**
-     * Adds a pass; one that has run already, or waits already, is not run again.
-     * @param pass - Pass to run.
+     * Adds a pass. A pass that is pending or has already run is not run again.
      * @param listener - Called once with the result.
      */
     addPass(pass: Pass, listener: (result: PassResult) => void): void {
         const { runner, record } = this.options;
         const key = getPassKey(pass);
         const sendResult = (result: PassResult) => listener({ ...result, id: pass.id, queue: this.waiting.length });
-        const same = this.pending.get(key);
-        if (same) {
+        const pendingPass = this.pending.get(key);
+        if (pendingPass) {
             record.summary.repeatedPasses++;
-            same.listeners.push(sendResult);
+            pendingPass.listeners.push(sendResult);
             return;
         }
-        const kept = runner.getKeptResult(pass, key);
-        if (kept) {
+        const storedResult = runner.getKeptResult(pass, key);
+        if (storedResult) {
             record.summary.repeatedPasses++;
-            sendResult(kept);
+            sendResult(storedResult);
             return;
         }
-        const added: WaitingPass = { pass, key, inputs: getInputs(pass), listeners: [sendResult] };
-        this.pending.set(key, added);
-        this.waiting.push(added);
+        const waitingPass: WaitingPass = { pass, key, inputs: getInputs(pass), listeners: [sendResult] };
+        this.pending.set(key, waitingPass);
+        this.waiting.push(waitingPass);
         this.resume();
     }
 
-    /** Gets the passes that wait or ran in the last step. */
+    /** Gets the number of passes that are waiting or part of the running step. */
     getQueue(): number {
-        return this.waiting.length + (this.isBusy ? this.lastStepPasses : 0);
+        return this.waiting.length + (this.isBusy ? this.lastStepPassCount : 0);
     }
 
-    /** Starts the next step unless one runs. */
+    /** Starts the next step unless a step is running. */
     resume(): void {
         if (!this.isBusy && !this.isClosed && !this.options.faults.frozen && this.waiting.length > 0) {
             this.isBusy = true;
@@ -82,7 +81,7 @@
         }
     }
 
-    /** Stops the loop for good. */
+    /** Stops the loop permanently. */
     close(): void {
         this.isClosed = true;
         this.timer?.cancel();
@@ -93,7 +92,7 @@
         const done: { waitingPass: WaitingPass; result: PassResult; }[] = [];
         const layers = new Set<string>();
         let prefillPositions = 0;
-        for (const waitingPass of this.takePasses()) {
+        for (const waitingPass of this.dequeueBatch()) {
             const outcome = runner.run(waitingPass);
             if (outcome.result.outcome === "refused") {
                 this.deliver(waitingPass, outcome.result);
@@ -103,7 +102,7 @@
             prefillPositions += outcome.prefillPositions;
             addLayers(layers, waitingPass.pass);
         }
-        this.lastStepPasses = done.length;
+        this.lastStepPassCount = done.length;
         if (done.length === 0) {
             this.endStep();
             return;
@@ -125,22 +124,22 @@
         this.resume();
     }
 
-    private takePasses(): WaitingPass[] {
-        // Array.prototype.sort is stable, so passes of the same priority keep their order of arrival.
+    private dequeueBatch(): WaitingPass[] {
+        // Array.prototype.sort is stable, so passes with the same priority stay in order of arrival.
         this.waiting.sort((first, second) => second.pass.priority - first.pass.priority);
         let positions = 0;
-        let taken = 0;
+        let passCount = 0;
         for (const { inputs } of this.waiting) {
             positions += inputs.length;
-            if (taken > 0 && positions > this.options.engine.maximumBatchPositions) {
+            if (passCount > 0 && positions > this.options.engine.maximumBatchPositions) {
                 break;
             }
-            taken++;
+            passCount++;
         }
-        return this.waiting.splice(0, taken);
+        return this.waiting.splice(0, passCount);
     }
 
-    /** Waits for the time of a step; timers are coarse, so what one is late by comes off the next waits. */
+    /** Waits for the duration of a step. Timers are coarse, so the deviation of a timer is subtracted from later waits. */
     private wait(milliseconds: number, callback: () => void): void {
         const { clock } = this.options;
         const start = clock.getMonotonicTime();
@@ -148,12 +147,15 @@
             if (this.isClosed) {
                 return;
             }
-            const debt = this.timerDebt + clock.getMonotonicTime() - start - milliseconds;
-            this.timerDebt = Math.max(-maximumTimerDebtMilliseconds, Math.min(maximumTimerDebtMilliseconds, debt));
+            const driftMilliseconds = this.timerDriftMilliseconds + clock.getMonotonicTime() - start - milliseconds;
+            this.timerDriftMilliseconds = Math.max(
+                -maximumTimerDriftMilliseconds,
+                Math.min(maximumTimerDriftMilliseconds, driftMilliseconds),
+            );
             callback();
         };
-        const remaining = milliseconds - this.timerDebt;
-        if (remaining < shortestTimerMilliseconds) {
+        const remaining = milliseconds - this.timerDriftMilliseconds;
+        if (remaining < minimumTimerMilliseconds) {
             setImmediate(finish);
             return;
         }
--- a/standins/engine/step/waitingPass.ts
+++ b/standins/engine/step/waitingPass.ts
@@ -1,12 +1,12 @@
 import type { Pass, PassResult } from "../../../src/connection/endpoint/engineProtocol.ts";
 
-/** A pass that waits for its step or for the end of it. */
+/** A pass that is waiting or part of the running step. */
 export interface WaitingPass {
     pass: Pass;
-    /** What makes two passes the same: request, attempt, model, position and layer range. */
+    /** Key of the request, attempt, model, position and layer range. Passes with the same key are equal. */
     key: string;
-    /** Tokens at layer 0, activations later; one a position. */
+    /** Tokens at layer 0 or activations at later layers, one per position. */
     inputs: number[];
-    /** Called with the result; more than one where the pass was sent again. */
+    /** Callbacks for the result, one for each time the pass was sent. */
     listeners: ((result: PassResult) => void)[];
 }
--- a/standins/engine/weightOrders.ts
+++ b/standins/engine/weightOrders.ts
@@ -12,42 +12,46 @@
     weightLoadMilliseconds: number;
 }
 
-/** Why an order was not obeyed. */
+/** Reason why an order was refused. */
 interface OrderError {
-    /** HTTP status: 409 for an old fencing number, 400 for a range that the model does not have. */
+    /** HTTP status: 409 for an old fencing number, 400 for layers that the model does not have. */
     status: 400 | 409;
     message: string;
 }
 
-/** Obeys orders to load and unload layers. */
+/** Executes orders to load and unload layers. */
 export class WeightOrders {
     private readonly options: WeightOrdersOptions;
-    private readonly loads = new Set<{ order: EngineOrder; timer: TimerHandle; }>();
+    private readonly pendingLoads = new Set<{ order: EngineOrder; timer: TimerHandle; }>();
     private fencingNumber = 0;
 
     private constructor(options: WeightOrdersOptions) {
         this.options = options;
     }
 
-    /** Creates an owner of the orders that has seen none. */
+    /** Creates an executor without any orders. */
     static create(options: WeightOrdersOptions): WeightOrders {
         return new WeightOrders(options);
     }
 
-    /** Gets the highest fencing number seen. */
+    /** Gets the highest fencing number of the accepted orders. */
     getFencingNumber(): number {
         return this.fencingNumber;
     }
 
-    /** Takes an order; a load takes effect once the weights are there. */
+    /** Executes an order. A load takes effect when the weights are loaded. */
     obey(order: EngineOrder): Result<undefined, OrderError> {
         const { checksFencing, modelLayers, heldLayers, clock, weightLoadMilliseconds } = this.options;
         const { fencingNumber, kind, range } = order;
         if (range.end > (modelLayers[range.model] ?? 0)) {
-            return Err({ status: 400, message: `Model ${range.model} has no such layers; name layers that it has.` });
+            return Err({
+                status: 400,
+                message: `Model ${range.model} does not have these layers. Use layers of the model.`,
+            });
         }
         if (checksFencing && fencingNumber < this.fencingNumber) {
-            const message = `Fencing number ${fencingNumber} is older than ${this.fencingNumber}; get a newer lease.`;
+            const message =
+                `Fencing number ${fencingNumber} is older than ${this.fencingNumber}. Acquire a newer lease.`;
             return Err({ status: 409, message });
         }
         this.fencingNumber = Math.max(fencingNumber, this.fencingNumber);
@@ -60,28 +64,28 @@
             return Ok(undefined);
         }
         const timer = clock.setTimer(weightLoadMilliseconds, () => {
-            this.loads.delete(load);
+            this.pendingLoads.delete(load);
             heldLayers.setHeld(range, true);
         });
         const load = { order, timer };
-        this.loads.add(load);
+        this.pendingLoads.add(load);
         return Ok(undefined);
     }
 
-    /** Stops all loads. */
+    /** Cancels all pending loads. */
     close(): void {
-        for (const { timer } of this.loads) {
+        for (const { timer } of this.pendingLoads) {
             timer.cancel();
         }
     }
 
-    /** Stops the loads whose range overlaps with an unload's. */
+    /** Cancels the pending loads whose range overlaps the range of an unload order. */
     private cancelLoads({ range }: EngineOrder): void {
-        for (const load of this.loads) {
+        for (const load of this.pendingLoads) {
             const other = load.order.range;
             if (other.model === range.model && other.start < range.end && range.start < other.end) {
                 load.timer.cancel();
-                this.loads.delete(load);
+                this.pendingLoads.delete(load);
             }
         }
     }
--- a/standins/network/delayLine.ts
+++ b/standins/network/delayLine.ts
@@ -1,44 +1,43 @@
-/** Something that waits to be done. */
-interface DelayedAct {
-    /** Monotonic time in milliseconds. */
+/** A queued action. */
+interface DelayedAction {
+    /** Earliest monotonic time of the action, in milliseconds. */
     dueAt: number;
-    act(): void;
+    run(): void;
 }
 
-/** Does things later, in the order in which they came, whatever their delays; so bytes of one connection keep their order. */
+/** Runs actions after a delay and always in the order of their arrival, so the bytes of a connection stay in order. */
 export class DelayLine {
-    private readonly waiting: DelayedAct[] = [];
+    private readonly waiting: DelayedAction[] = [];
     private timer: NodeJS.Timeout | undefined;
 
     private constructor() {}
 
-    /** Creates an empty line. */
+    /** Creates an empty queue. */
     static create(): DelayLine {
         return new DelayLine();
     }
 
     /**
-     * Does something after a delay and after all that came before; at once where neither holds it up.
-     * @param delayMilliseconds - Shortest delay.
-     * @param act - What to do.
+     * Runs an action after a delay and after all earlier actions. Without a delay or earlier actions, runs it at once.
+     * @param delayMilliseconds - Minimum delay.
      */
-    add(delayMilliseconds: number, act: () => void): void {
+    add(delayMilliseconds: number, action: () => void): void {
         if (delayMilliseconds === 0 && this.waiting.length === 0) {
-            act();
+            action();
             return;
         }
-        this.waiting.push({ dueAt: performance.now() + delayMilliseconds, act });
+        this.waiting.push({ dueAt: performance.now() + delayMilliseconds, run: action });
         this.schedule();
     }
 
     private schedule(): void {
         const [first] = this.waiting;
         if (first !== undefined) {
-            this.timer ??= setTimeout(() => this.release(), Math.max(0, first.dueAt - performance.now()));
+            this.timer ??= setTimeout(() => this.runDueActions(), Math.max(0, first.dueAt - performance.now()));
         }
     }
 
-    private release(): void {
+    private runDueActions(): void {
         this.timer = undefined;
         for (
             let [first] = this.waiting;
@@ -46,7 +45,7 @@
             [first] = this.waiting
         ) {
             this.waiting.shift();
-            first.act();
+            first.run();
         }
         this.schedule();
     }
--- a/standins/network/loopbackProxy.ts
+++ b/standins/network/loopbackProxy.ts
@@ -3,25 +3,25 @@
 import { DelayLine } from "./delayLine.ts";
 import { ProxyMode } from "./proxyMode.ts";
 
-/** Of a delay; under the two checks of a balancer, so that a delayed part counts as slow and not as dead. */
+/** Less than the time of two health checks of a load balancer, so that a delayed target is slow but not considered dead. */
 const delayMilliseconds = 300;
 
-/** The two ends of a connection that goes through a proxy. */
+/** The two sockets of a proxied connection. */
 interface ProxiedPair {
     caller: Socket;
     target: Socket;
 }
 
 /**
- * Stands before one listener on the loopback address and harms the connections to it. A frozen connection stays open and
- * passes nothing on, as where something between the two ends has lost track of it.
+ * TCP proxy that injects faults into the connections to one listener on the loopback address. A frozen connection stays
+ * open without forwarding any data, as with a network device that has lost the connection's state.
  */
 export class LoopbackProxy {
     private readonly server: Server;
     private readonly getTargetAddress: () => string;
     private readonly pairs = new Set<ProxiedPair>();
     private mode: ProxyMode = ProxyMode.Pass;
-    private isFreezingNew = false;
+    private freezesNewConnections = false;
     private byteCount = 0;
 
     private constructor(getTargetAddress: () => string) {
@@ -31,7 +31,7 @@
 
     /**
      * Starts a proxy on a free port of the loopback address.
-     * @param getTargetAddress - Gets the host:port to forward to, at each new connection.
+     * @param getTargetAddress - Gets the target as host:port. Called for each new connection.
      */
     static async create(getTargetAddress: () => string): Promise<LoopbackProxy> {
         const proxy = new LoopbackProxy(getTargetAddress);
@@ -39,32 +39,32 @@
         return proxy;
     }
 
-    /** Gets host:port. */
+    /** Gets the address as host:port. */
     getAddress(): string {
         return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
     }
 
-    /** Gets the number of bytes passed on in both directions. */
+    /** Gets the number of forwarded bytes in both directions. */
     getByteCount(): number {
         return this.byteCount;
     }
 
-    /** Gets the number of connections that are open. */
+    /** Gets the number of open connections. */
     getConnectionCount(): number {
         return this.pairs.size;
     }
 
-    /** Changes what happens to open and new connections. */
+    /** Sets the fault mode of open and new connections. */
     setMode(mode: ProxyMode): void {
         const hasLostBytes = this.mode !== ProxyMode.Pass && this.mode !== ProxyMode.Delay;
         this.mode = mode;
         if (mode === ProxyMode.Reset || hasLostBytes) {
-            // A connection that has lost bytes would go on with a hole in it, which no network does.
+            // Reset connections that lost bytes, because TCP never delivers a stream with a gap.
             this.resetAll();
         }
     }
 
-    /** Resets the present connections; new ones work. */
+    /** Resets the open connections. New connections are not affected. */
     resetAll(): void {
         for (const { caller, target } of this.pairs) {
             reset(caller);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Closes the present connections; new ones work. */
+    /** Closes the open connections. New connections are not affected. */
     cut(): void {
         for (const { caller, target } of this.pairs) {
             caller.destroy();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Freezes the present connections; new ones work. */
+    /** Freezes the open connections. New connections are not affected. */
     freeze(): void {
         for (const { caller, target } of this.pairs) {
             caller.pause();
@@ -88,13 +88,13 @@
         }
     }
 
-    /** Freezes the present connections and all new ones. */
+    /** Freezes the open connections and all new ones. */
     freezeAll(): void {
-        this.isFreezingNew = true;
+        this.freezesNewConnections = true;
         this.freeze();
     }
 
-    /** Stops, with all connections. */
+    /** Stops the proxy and closes all connections. */
     async close(): Promise<void> {
         const closed = new Promise(resolve => this.server.close(resolve));
         this.cut();
@@ -108,7 +108,7 @@
             return;
         }
         const target = connect(parseAddress(this.getTargetAddress())!, () => {
-            // The system may give the connection the port that nobody listens on, and join it to itself.
+            // If nothing listens on the target port, the system may choose it as the local port and connect the socket to itself.
             if (target.localPort === target.remotePort) {
                 reset(target);
                 reset(caller);
@@ -120,30 +120,30 @@
         this.pipe(target, caller, ProxyMode.CutAnswers);
         for (const socket of [caller, target]) {
             socket.setNoDelay(true);
-            // Where the way is cut, one end stays open after the other has closed.
+            // If one direction is cut, one socket stays open after the other has closed.
             socket.once("close", () => {
                 if (caller.destroyed && target.destroyed) {
                     this.pairs.delete(pair);
                 }
             });
         }
-        if (this.isFreezingNew) {
+        if (this.freezesNewConnections) {
             caller.pause();
             target.pause();
         }
     }
 
-    /** Passes bytes on in one direction, which one of the modes cuts. */
-    private pipe(from: Socket, to: Socket, cuttingMode: ProxyMode): void {
-        const line = DelayLine.create();
-        const pass = (act: () => void) => {
-            if (this.mode !== cuttingMode && this.mode !== ProxyMode.Silence) {
-                line.add(this.mode === ProxyMode.Delay ? delayMilliseconds : 0, act);
+    /** Forwards bytes in one direction, except in the mode that cuts this direction. */
+    private pipe(from: Socket, to: Socket, cutMode: ProxyMode): void {
+        const queue = DelayLine.create();
+        const forward = (action: () => void) => {
+            if (this.mode !== cutMode && this.mode !== ProxyMode.Silence) {
+                queue.add(this.mode === ProxyMode.Delay ? delayMilliseconds : 0, action);
             }
         };
-        from.on("data", (bytes: Buffer) => pass(() => this.write(to, bytes)));
-        from.on("end", () => pass(() => to.end()));
-        // A reset is handed on as a reset, so that it is not taken for a proper end.
+        from.on("data", (bytes: Buffer) => forward(() => this.write(to, bytes)));
+        from.on("end", () => forward(() => to.end()));
+        // Forward a reset as a reset, so that it is not mistaken for a regular end of the stream.
         from.on("error", () => reset(to));
     }
 
@@ -155,7 +155,7 @@
     }
 }
 
-/** Resets a connection. One that is being ended already can't be: Node.js then waits for its handle for ever at exit. */
+/** Resets a connection. A connection that is already ending is destroyed, since a reset would make Node.js hang at exit. */
 function reset(socket: Socket): void {
     if (socket.writableEnded) {
         socket.destroy();
--- a/standins/network/proxyMode.ts
+++ b/standins/network/proxyMode.ts
@@ -1,15 +1,15 @@
-/** What a proxy does with the bytes that pass it. */
+/** Fault mode of a proxy. */
 export const ProxyMode = {
     Pass: "pass",
-    /** All bytes come later. */
+    /** All bytes are delayed. */
     Delay: "delay",
     /** Open and new connections are reset. */
     Reset: "reset",
-    /** What the caller sends is lost; what the other side sends still arrives. */
+    /** Bytes from the caller are lost. Bytes from the target still arrive. */
     CutRequests: "cutRequests",
-    /** What the other side sends is lost. */
+    /** Bytes from the target are lost. Bytes from the caller still arrive. */
     CutAnswers: "cutAnswers",
-    /** Nothing arrives on either side, and connections stay open. */
+    /** All bytes are lost in both directions, and connections stay open. */
     Silence: "silence",
 } as const;
 export type ProxyMode = typeof ProxyMode[keyof typeof ProxyMode];
--- a/standins/platform/callCounts.ts
+++ b/standins/platform/callCounts.ts
@@ -1,6 +1,6 @@
 import { CallKind } from "./callKind.ts";
 
-/** Counts the calls that reached the platform, by kind, and those that a rate limit refused. */
+/** Counts the calls to the platform by kind, and the calls refused by a rate limit. */
 export class CallCounts {
     private counts = createZeroCounts();
     private rateLimited = 0;
@@ -8,22 +8,22 @@
     private constructor() {
     }
 
-    /** Creates counts that are all 0. */
+    /** Creates counts of 0. */
     static create(): CallCounts {
         return new CallCounts();
     }
 
-    /** Counts one call; a watch counts once for as long as it waits. */
+    /** Counts a call. A watch counts once, however long it stays open. */
     add(kind: CallKind): void {
         this.counts[kind]++;
     }
 
-    /** Counts one refusal by a rate limit; the call itself is counted too. */
+    /** Counts a call refused by a rate limit, in addition to its count by kind. */
     addRateLimited(): void {
         this.rateLimited++;
     }
 
-    /** Sets all counts to 0. */
+    /** Resets all counts to 0. */
     reset(): void {
         this.counts = createZeroCounts();
         this.rateLimited = 0;
--- a/standins/platform/callKind.ts
+++ b/standins/platform/callKind.ts
@@ -1,4 +1,4 @@
-/** Kinds of call that the platform counts. */
+/** Kinds of platform calls. */
 export const CallKind = {
     Range: "range",
     Transaction: "transaction",
--- a/standins/platform/controlSchemas.ts
+++ b/standins/platform/controlSchemas.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Bodies of the calls that steer the stand-in. */
+/** Schemas of the request bodies that control the stand-in. */
 export const controlSchemas = {
     faults: z.strictObject({
         down: z.boolean().optional(),
--- a/standins/platform/createRangeTest.ts
+++ b/standins/platform/createRangeTest.ts
@@ -1,9 +1,9 @@
 const allKeys = "\0";
 
 /**
- * Creates the test whether a key lies in a range of the etcd v3 API.
+ * Creates a function that gets if a key is in a range of the etcd v3 API.
  * @param key - First key of the range.
- * @param rangeEnd - First key after the range; empty for one key, a zero byte for no end.
+ * @param rangeEnd - End of the range (exclusive); empty for a single key, a zero byte for no end.
  */
 export function createRangeTest(key: string, rangeEnd: string): (candidate: string) => boolean {
     if (rangeEnd === "") {
--- a/standins/platform/etcdGateway.ts
+++ b/standins/platform/etcdGateway.ts
@@ -6,7 +6,6 @@
 import type { KeyValueState } from "./keyValueState.ts";
 import type { StandinAnswer } from "./standinAnswer.ts";
 
-/** Largest value, in bytes: one megabyte. */
 const maximumValueBytes = 1_000_000;
 const okStatus = 200;
 const badRequestStatus = 400;
@@ -18,7 +17,7 @@
 type RangeRequest = z.infer<typeof etcdRequestSchemas.range>;
 type Operation = z.infer<typeof etcdRequestSchemas.transaction>["success"][number];
 
-/** Answers the calls of the etcd v3 API that aren't streams. */
+/** Handles the non-streaming calls of the etcd v3 API. */
 export class EtcdGateway {
     private readonly state: KeyValueState;
 
@@ -26,14 +25,14 @@
         this.state = state;
     }
 
-    /** Creates a gateway before a store. */
+    /** Creates a gateway for a key-value store. */
     static create(state: KeyValueState): EtcdGateway {
         return new EtcdGateway(state);
     }
 
     range(body: unknown): StandinAnswer {
         const request = etcdRequestSchemas.range.parse(body);
-        return this.answer(this.readRange(request), false);
+        return this.createAnswer(this.readRange(request), false);
     }
 
     transaction(body: unknown): StandinAnswer {
@@ -42,24 +41,24 @@
             (this.state.getRecord(key)?.modRevision ?? 0) === mod_revision
         );
         const operations = succeeded ? request.success : request.failure;
-        const refusal = this.findRefusal(operations);
-        if (refusal !== undefined) {
-            return refusal;
+        const error = this.findPutError(operations);
+        if (error !== undefined) {
+            return error;
         }
-        const responses = operations.map(operation => this.run(operation));
-        return this.answer({ succeeded, responses }, operations.some(operation => operation.request_put));
+        const responses = operations.map(operation => this.runOperation(operation));
+        return this.createAnswer({ succeeded, responses }, operations.some(operation => operation.request_put));
     }
 
     leaseGrant(body: unknown): StandinAnswer {
         const { TTL } = etcdRequestSchemas.leaseGrant.parse(body);
         if (TTL < 1) {
-            return refuse(
+            return createErrorAnswer(
                 badRequestStatus,
                 invalidArgumentGrpcCode,
-                "The time to live of a lease is at least 1 second.",
+                "The time to live of a lease must be at least 1 second.",
             );
         }
-        return this.answer({ ID: this.state.leases.grant(TTL), TTL: String(TTL) }, true);
+        return this.createAnswer({ ID: this.state.leases.grant(TTL), TTL: String(TTL) }, true);
     }
 
     leaseKeepAlive(body: unknown): StandinAnswer {
@@ -71,22 +70,22 @@
 
     leaseRevoke(body: unknown): StandinAnswer {
         const { ID } = etcdRequestSchemas.lease.parse(body);
-        return this.state.revokeLease(ID) ? this.answer({}, true) : refuseUnknownLease();
+        return this.state.revokeLease(ID) ? this.createAnswer({}, true) : createUnknownLeaseAnswer();
     }
 
-    private findRefusal(operations: Operation[]): StandinAnswer | undefined {
+    private findPutError(operations: Operation[]): StandinAnswer | undefined {
         for (const { request_put: put } of operations) {
             if (put !== undefined && Buffer.byteLength(put.value, "base64") > maximumValueBytes) {
-                return refuse(badRequestStatus, invalidArgumentGrpcCode, "etcdserver: request is too large");
+                return createErrorAnswer(badRequestStatus, invalidArgumentGrpcCode, "etcdserver: request is too large");
             }
             if (put !== undefined && put.lease !== noLease && !this.state.leases.has(put.lease)) {
-                return refuseUnknownLease();
+                return createUnknownLeaseAnswer();
             }
         }
         return undefined;
     }
 
-    private run({ request_put: put, request_range: range }: Operation): object {
+    private runOperation({ request_put: put, request_range: range }: Operation): object {
         if (put !== undefined) {
             this.state.put(put.key, put.value, put.lease);
             return { response_put: { header: this.createHeader() } };
@@ -105,7 +104,7 @@
         };
     }
 
-    private answer(body: object, hasWritten: boolean): StandinAnswer {
+    private createAnswer(body: object, hasWritten: boolean): StandinAnswer {
         return { status: okStatus, body: { header: this.createHeader(), ...body }, hasWritten };
     }
 
@@ -114,10 +113,10 @@
     }
 }
 
-function refuse(status: number, code: number, message: string): StandinAnswer {
+function createErrorAnswer(status: number, code: number, message: string): StandinAnswer {
     return { status, body: { code, message, details: [] }, hasWritten: false };
 }
 
-function refuseUnknownLease(): StandinAnswer {
-    return refuse(notFoundStatus, notFoundGrpcCode, "etcdserver: requested lease not found");
+function createUnknownLeaseAnswer(): StandinAnswer {
+    return createErrorAnswer(notFoundStatus, notFoundGrpcCode, "etcdserver: requested lease not found");
 }
--- a/standins/platform/etcdRequestSchemas.ts
+++ b/standins/platform/etcdRequestSchemas.ts
@@ -1,10 +1,10 @@
 import { z } from "zod";
 
-/** A 64-bit integer, which the JSON form writes as a string; an absent one is 0. */
+/** A 64-bit integer, which the JSON form writes as a string. The default is 0. */
 const integer = z.union([z.string(), z.number()]).default("0").transform(text => Number(text)).pipe(z.int());
-/** A 64-bit lease ID, too long for a number. */
+/** A 64-bit lease ID. Kept as a string because it may not fit in a JavaScript number. */
 const leaseId = z.union([z.string(), z.number()]).default("0").transform(id => String(id));
-/** Bytes as one character each. */
+/** Bytes as a string with one character per byte. */
 const bytes = z.base64().default("").transform(encoded => Buffer.from(encoded, "base64").toString("latin1"));
 
 const range = z.object({ key: bytes, range_end: bytes, limit: integer });
@@ -14,7 +14,7 @@
 });
 const operations = z.array(operation).max(1).default([]);
 
-/** Requests of the etcd v3 API in the form of its JSON gateway, as far as the stand-in knows them. */
+/** Schemas of the supported etcd v3 requests in the format of the JSON gateway. */
 export const etcdRequestSchemas = {
     range,
     transaction: z.object({
--- a/standins/platform/faultInjector.ts
+++ b/standins/platform/faultInjector.ts
@@ -2,7 +2,7 @@
 import type { Faults } from "./faults.ts";
 import type { FaultsChange } from "./faultsChange.ts";
 
-/** Holds the faults, and knows the connections that they have silenced. */
+/** Stores the active faults and the silenced connections. */
 export class FaultInjector {
     private faults: Faults = { down: false, hang: false, delayMilliseconds: 0, loseAnswers: 0 };
     private readonly openSockets = new Set<Socket>();
@@ -16,12 +16,12 @@
         return new FaultInjector();
     }
 
-    /** Gets a copy of the faults. */
+    /** Gets a copy of the active faults. */
     getFaults(): Faults {
         return { ...this.faults };
     }
 
-    /** Changes the faults that the change names. */
+    /** Sets the faults given in a change; the others keep their values. */
     change(change: FaultsChange): void {
         const { down, hang, delayMilliseconds, loseAnswers } = change;
         this.faults = {
@@ -35,18 +35,18 @@
         }
     }
 
-    /** Takes note of a new connection. */
+    /** Tracks a connection until it closes. */
     addSocket(socket: Socket): void {
         this.openSockets.add(socket);
         socket.on("close", () => this.openSockets.delete(socket));
     }
 
-    /** Whether nothing must be sent on a connection. */
+    /** Gets if nothing may be sent on a connection. */
     isSilent(socket: Socket | null): boolean {
         return this.faults.hang || (socket !== null && this.silentSockets.has(socket));
     }
 
-    /** Takes one of the answers to lose. False where none is left. */
+    /** Gets if the current response must be lost, and decrements the number of remaining responses to lose. */
     tryTakeLostAnswer(): boolean {
         if (this.faults.loseAnswers === 0) {
             return false;
--- a/standins/platform/faults.ts
+++ b/standins/platform/faults.ts
@@ -1,11 +1,11 @@
-/** Faults that the stand-in shows on every call but those below `/standin`. */
+/** Faults that apply to all calls except those below `/standin`. */
 export interface Faults {
-    /** Whether connections are destroyed at their next call, and watches at once. */
+    /** Whether each call's connection is destroyed. Open watches are destroyed at once. */
     down: boolean;
-    /** Whether calls are accepted and never answered. Connections open at the onset stay silent for good. */
+    /** Whether calls never get a response. Connections that are open when this is set stay silent permanently. */
     hang: boolean;
-    /** Time that a call waits before it takes effect, in milliseconds. */
+    /** Delay before a call is executed, in milliseconds. */
     delayMilliseconds: number;
-    /** Number of coming writes that take effect and whose connection is then destroyed before the answer. */
+    /** Number of next writes that are executed but whose connection is destroyed before the response. */
     loseAnswers: number;
 }
--- a/standins/platform/faultsChange.ts
+++ b/standins/platform/faultsChange.ts
@@ -1,9 +1,9 @@
 import type { Faults } from "./faults.ts";
 
-/** A change of the faults; what is absent stays as it is. */
+/** Change of the faults. Absent faults keep their values. */
 export interface FaultsChange extends Partial<Faults> {
-    /** Makes the connections that are open now silent for good, while new ones work. */
+    /** Permanently silences the open connections. New connections work. */
     silenceOpenConnections?: boolean;
-    /** Puts back the keys, leases and revision of the last snapshot, and breaks the watches. */
+    /** Restores the keys, leases and revision of the last snapshot, and destroys all watches. */
     restoreOlder?: boolean;
 }
--- a/standins/platform/formatKeyRecord.ts
+++ b/standins/platform/formatKeyRecord.ts
@@ -1,6 +1,6 @@
 import type { KeyRecord } from "./keyRecord.ts";
 
-/** Formats a record as a `KeyValue` of the etcd v3 API in JSON. */
+/** Formats a record as the JSON form of an etcd v3 `KeyValue`. */
 export function formatKeyRecord(record: KeyRecord): object {
     return {
         key: Buffer.from(record.key, "latin1").toString("base64"),
--- a/standins/platform/keyEvent.ts
+++ b/standins/platform/keyEvent.ts
@@ -3,6 +3,6 @@
 /** A change of one key. */
 export interface KeyEvent {
     type: "PUT" | "DELETE";
-    /** The key after the change; a deleted one holds its name and the revision of the deletion only. */
+    /** The key after the change. For a deletion, only the key and the revision of the deletion are set. */
     record: KeyRecord;
 }
--- a/standins/platform/keyRecord.ts
+++ b/standins/platform/keyRecord.ts
@@ -1,6 +1,6 @@
-/** A key as it stands in the store. Records are replaced, never changed. */
+/** A key in the store. Records are immutable; a write replaces them. */
 export interface KeyRecord {
-    /** The key's bytes, one character each, so that texts compare as bytes do. */
+    /** Key with one character per byte, so that string comparison orders keys by their bytes. */
     key: string;
     /** Value in base64. */
     value: string;
@@ -8,6 +8,6 @@
     modRevision: number;
     /** Number of writes since the key was created. */
     version: number;
-    /** Lease that the key is bound to; "0" for none. */
+    /** Lease that the key is attached to; "0" for none. */
     leaseId: string;
 }
--- a/standins/platform/keyValueState.ts
+++ b/standins/platform/keyValueState.ts
@@ -3,8 +3,8 @@
 import type { KeyRecord } from "./keyRecord.ts";
 import { LeaseTable } from "./leaseTable.ts";
 
-/** Number of changes kept for watches that begin in the past. */
-const historyLength = 1_000;
+/** Number of changes kept for watches that start at a past revision. */
+const maximumHistoryLength = 1_000;
 const noLease = "0";
 
 interface Snapshot {
@@ -15,7 +15,7 @@
     compactedRevision: number;
 }
 
-/** Keys, revisions and leases, with the meanings of the etcd v3 API. */
+/** Keys, revisions and leases with the semantics of the etcd v3 API. */
 export class KeyValueState {
     readonly leases: LeaseTable;
     private readonly onEvents: (events: readonly KeyEvent[]) => void;
@@ -32,8 +32,8 @@
 
     /**
      * Creates an empty store at revision 1.
-     * @param clock - Source of time for the leases.
-     * @param onEvents - Called after each write with the changes of one revision.
+     * @param clock - Clock for the expiry of leases.
+     * @param onEvents - Called after each revision with its changes.
      */
     static create(clock: Clock, onEvents: (events: readonly KeyEvent[]) => void): KeyValueState {
         return new KeyValueState(clock, onEvents);
@@ -43,7 +43,7 @@
         return this.revision;
     }
 
-    /** Gets the newest revision whose changes are no longer kept; 0 where all are. */
+    /** Gets the newest revision whose changes were compacted, or 0 if all changes are kept. */
     getCompactedRevision(): number {
         return this.compactedRevision;
     }
@@ -52,18 +52,18 @@
         return this.records.get(key);
     }
 
-    /** Gets the records whose keys are at or after one key and before another, in order. */
+    /** Gets the records whose keys are in a range, sorted by key. */
     getRecords(isInRange: (key: string) => boolean): KeyRecord[] {
         const records = [...this.records.values()].filter(record => isInRange(record.key));
         return records.sort((left, right) => left.key < right.key ? -1 : 1);
     }
 
-    /** Gets the kept changes from a revision on. */
+    /** Gets the kept changes, starting with a revision. */
     getEventsSince(revision: number): KeyEvent[] {
         return this.history.filter(event => event.record.modRevision >= revision);
     }
 
-    /** Writes a key under a new revision. */
+    /** Writes a key and increments the revision. */
     put(key: string, value: string, leaseId: string): void {
         const previous = this.records.get(key);
         this.revision++;
@@ -79,7 +79,7 @@
         this.publish([{ type: "PUT", record }]);
     }
 
-    /** Ends a lease and deletes its keys. False where there is no such lease. */
+    /** Revokes a lease and deletes its keys. Returns false if the lease does not exist. */
     revokeLease(leaseId: string): boolean {
         if (!this.leases.remove(leaseId)) {
             return false;
@@ -88,7 +88,7 @@
         return true;
     }
 
-    /** Remembers the present state in place of an earlier snapshot. */
+    /** Takes a snapshot of the state, which replaces the previous snapshot. */
     takeSnapshot(): void {
         this.snapshot = {
             revision: this.revision,
@@ -99,7 +99,7 @@
         };
     }
 
-    /** Goes back to the last snapshot. False where there is none. */
+    /** Restores the last snapshot. Returns false if there is none. */
     restoreSnapshot(): boolean {
         if (this.snapshot === undefined) {
             return false;
@@ -113,15 +113,15 @@
     }
 
     private deleteKeysOfLease(leaseId: string): void {
-        const bound = [...this.records.values()].filter(record => record.leaseId === leaseId);
-        if (bound.length === 0) {
+        const attachedRecords = [...this.records.values()].filter(record => record.leaseId === leaseId);
+        if (attachedRecords.length === 0) {
             return;
         }
         this.revision++;
-        for (const record of bound) {
+        for (const record of attachedRecords) {
             this.records.delete(record.key);
         }
-        this.publish(bound.map(record => this.createDeletion(record.key)));
+        this.publish(attachedRecords.map(record => this.createDeletion(record.key)));
     }
 
     private createDeletion(key: string): KeyEvent {
@@ -134,8 +134,8 @@
 
     private publish(events: KeyEvent[]): void {
         this.history.push(...events);
-        const surplus = this.history.splice(0, Math.max(0, this.history.length - historyLength));
-        this.compactedRevision = surplus.at(-1)?.record.modRevision ?? this.compactedRevision;
+        const compactedEvents = this.history.splice(0, Math.max(0, this.history.length - maximumHistoryLength));
+        this.compactedRevision = compactedEvents.at(-1)?.record.modRevision ?? this.compactedRevision;
         this.onEvents(events);
     }
 }
--- a/standins/platform/leaseTable.ts
+++ b/standins/platform/leaseTable.ts
@@ -7,29 +7,28 @@
     timer: TimerHandle;
 }
 
-/** The leases and the timers at which they lapse. */
+/** Leases and their expiry timers. */
 export class LeaseTable {
     private readonly clock: Clock;
-    private readonly onLapsed: (leaseId: string) => void;
+    private readonly onExpired: (leaseId: string) => void;
     private readonly leases = new Map<string, Lease>();
     private nextId: bigint;
 
     private constructor(clock: Clock, onLapsed: (leaseId: string) => void) {
         this.clock = clock;
-        this.onLapsed = onLapsed;
+        this.onExpired = onLapsed;
         this.nextId = BigInt(Math.floor(clock.getWallTime())) << 20n;
     }
 
     /**
      * Creates an empty table.
-     * @param clock - Source of time.
-     * @param onLapsed - Called when a lease has lapsed and is gone from the table.
+     * @param onExpired - Called after an expired lease was removed from the table.
      */
-    static create(clock: Clock, onLapsed: (leaseId: string) => void): LeaseTable {
-        return new LeaseTable(clock, onLapsed);
+    static create(clock: Clock, onExpired: (leaseId: string) => void): LeaseTable {
+        return new LeaseTable(clock, onExpired);
     }
 
-    /** Grants a lease and gets its ID. */
+    /** Grants a lease and returns its ID. */
     grant(timeToLiveSeconds: number): string {
         this.nextId++;
         const leaseId = String(this.nextId);
@@ -41,7 +40,7 @@
         return this.leases.has(leaseId);
     }
 
-    /** Renews a lease and gets its time to live in seconds; 0 where it has lapsed. */
+    /** Renews a lease and returns its time to live in seconds, or 0 if it has expired. */
     renew(leaseId: string): number {
         const lease = this.leases.get(leaseId);
         if (lease === undefined) {
@@ -51,18 +50,18 @@
         return lease.timeToLiveSeconds;
     }
 
-    /** Removes a lease. False where it isn't there. */
+    /** Removes a lease. Returns false if it does not exist. */
     remove(leaseId: string): boolean {
         this.leases.get(leaseId)?.timer.cancel();
         return this.leases.delete(leaseId);
     }
 
-    /** Gets the times to live in seconds, by lease. */
+    /** Gets the time to live in seconds of each lease. */
     getTimesToLive(): Map<string, number> {
         return new Map([...this.leases].map(([leaseId, lease]) => [leaseId, lease.timeToLiveSeconds]));
     }
 
-    /** Replaces all leases by others, each with its whole time to live before it. */
+    /** Replaces all leases. Each new lease starts with its full time to live. */
     replaceAll(timesToLive: ReadonlyMap<string, number>): void {
         for (const leaseId of [...this.leases.keys()]) {
             this.remove(leaseId);
@@ -76,7 +75,7 @@
         this.leases.get(leaseId)?.timer.cancel();
         const timer = this.clock.setTimer(timeToLiveSeconds * millisecondsPerSecond, () => {
             this.leases.delete(leaseId);
-            this.onLapsed(leaseId);
+            this.onExpired(leaseId);
         });
         this.leases.set(leaseId, { timeToLiveSeconds, timer });
     }
--- a/standins/platform/platformService.ts
+++ b/standins/platform/platformService.ts
@@ -18,19 +18,19 @@
 
 interface PlatformServiceOptions {
     clock: Clock;
-    /** Age of the list of machines that is shown, in milliseconds. */
+    /** Lag of the VM list, in milliseconds. */
     vmListLagMilliseconds: number;
-    /** Transactions and lease calls that are let through, a second. */
+    /** Rate limit of transactions and lease calls. */
     writesPerSecond: number;
-    /** Range and watch calls that are let through, a second. */
+    /** Rate limit of range and watch calls. */
     readsPerSecond: number;
-    /** Time between progress notices of watches, in milliseconds. */
+    /** Interval between the progress notifications of watches, in milliseconds. */
     progressMilliseconds: number;
-    /** Whether nothing must be sent on a response's connection. */
+    /** Gets if nothing may be sent on the connection of a response. */
     isSilent(response: ServerResponse): boolean;
 }
 
-/** What the platform does, without its faults: keys, leases, watches, the list of machines, counts and rate limits. */
+/** The platform without fault injection: keys, leases, watches, the VM list, call counts and rate limits. */
 export class PlatformService {
     readonly vmList: VmListHistory;
     readonly watches: WatchStreams;
@@ -54,26 +54,24 @@
         return new PlatformService(options);
     }
 
-    /** Gets the counts, with the number of watches that are open now. */
+    /** Gets the call counts and the number of open watches. */
     getCounts(): ReturnType<CallCounts["getCounts"]> & { openWatches: number; } {
         return { ...this.counts.getCounts(), openWatches: this.watches.getCount() };
     }
 
-    /** Sets the counts to 0; the open watches stay open. */
+    /** Resets the call counts to 0. Open watches stay open. */
     resetCounts(): void {
         this.counts.reset();
     }
 
     /**
-     * Counts and makes a call.
-     * @param kind - Kind of call.
-     * @param body - Request.
-     * @param response - Response that a watch streams on.
-     * @returns The answer; undefined where the call has begun to stream.
+     * Counts a call and executes it unless its rate limit is exceeded.
+     * @param response - Response on which a watch streams its events.
+     * @returns The response to send, or undefined if the call streams its response.
      */
     run(kind: CallKind, body: unknown, response: ServerResponse): StandinAnswer | undefined {
         this.counts.add(kind);
-        if (!this.tryPass(kind)) {
+        if (!this.tryTakeToken(kind)) {
             this.counts.addRateLimited();
             return tooManyRequests;
         }
@@ -96,13 +94,13 @@
         }
     }
 
-    /** Breaks the watches and stops all timers. */
+    /** Destroys all watches and stops all timers. */
     close(): void {
         this.watches.close();
         this.state.leases.replaceAll(new Map());
     }
 
-    private tryPass(kind: CallKind): boolean {
+    private tryTakeToken(kind: CallKind): boolean {
         if (kind === CallKind.VmList) {
             return true;
         }
--- a/standins/platform/platformStandin.ts
+++ b/standins/platform/platformStandin.ts
@@ -20,23 +20,23 @@
 const invalidArgumentGrpcCode = 3;
 
 interface PlatformStandinOptions {
-    /** Port to listen on; 0 for any free one. */
+    /** TCP port on 127.0.0.1; 0 for any free port. */
     port: number;
-    /** Age of the list of machines that is shown, in milliseconds; 1,000 where undefined. */
+    /** Lag of the VM list, in milliseconds. Default: 1,000. */
     vmListLagMilliseconds?: number;
-    /** Transactions and lease calls that are let through, a second; no limit where undefined. */
+    /** Rate limit of transactions and lease calls. Default: no limit. */
     writesPerSecond?: number;
-    /** Range and watch calls that are let through, a second; no limit where undefined. */
+    /** Rate limit of range and watch calls. Default: no limit. */
     readsPerSecond?: number;
-    /** Time between progress notices of watches, in milliseconds; 1,000 where undefined. */
+    /** Interval between the progress notifications of watches, in milliseconds. Default: 1,000. */
     progressMilliseconds?: number;
-    /** Clock for lags, limits, leases and delays; the system's where undefined. */
+    /** Clock for lags, rate limits, leases and delays. Default: the system clock. */
     clock?: Clock;
 }
 
 /**
- * A stand-in for the platform in tests: the JSON gateway of the etcd v3 API, the list of machines, and faults on
- * demand. Leases lapse by the clock also while the stand-in is down or hangs.
+ * Stand-in for the platform in tests. It provides the JSON gateway of the etcd v3 API, the VM list and fault injection.
+ * Leases expire even while the stand-in is down or hangs.
  */
 export class PlatformStandin {
     private readonly clock: Clock;
@@ -61,10 +61,7 @@
         this.server.on("connection", socket => this.faults.addSocket(socket));
     }
 
-    /**
-     * Starts a stand-in on the loopback interface.
-     * @param options - Port, limits and clock.
-     */
+    /** Starts a stand-in on the loopback interface. */
     static async create(options: PlatformStandinOptions): Promise<PlatformStandin> {
         const standin = new PlatformStandin(options);
         standin.server.listen(options.port, host);
@@ -77,24 +74,23 @@
         return `${host}:${(this.server.address() as AddressInfo).port}`;
     }
 
-    /** Gets the counts of calls, as `GET /standin/counts` does. */
+    /** Gets the call counts, like `GET /standin/counts`. */
     getCounts(): ReturnType<PlatformService["getCounts"]> {
         return this.service.getCounts();
     }
 
-    /** Remembers the present keys, leases and revision. */
+    /** Takes a snapshot of the keys, leases and revision. */
     takeSnapshot(): void {
         this.service.state.takeSnapshot();
     }
 
     /**
-     * Changes the faults.
-     * @param change - Faults to set; the others stay as they are.
-     * @throws Error where the state before a snapshot is asked for and none was taken.
+     * Sets the faults given in a change; the others keep their values.
+     * @throws Error if a snapshot must be restored and none was taken.
      */
     setFaults(change: FaultsChange): void {
         if (change.restoreOlder === true && !this.service.state.restoreSnapshot()) {
-            throw new Error("There is no snapshot to restore. Take one before.");
+            throw new Error("There is no snapshot to restore. Take a snapshot first.");
         }
         this.faults.change(change);
         if (change.down === true || change.restoreOlder === true) {
@@ -102,7 +98,7 @@
         }
     }
 
-    /** Stops listening and breaks all connections. */
+    /** Stops listening and closes all connections. */
     async close(): Promise<void> {
         this.service.close();
         this.server.close();
@@ -147,7 +143,7 @@
     private addCallRoute(method: "GET" | "POST", path: string, kind: CallKind): void {
         this.router.on(method, path, (request, response) => {
             this.answerCall(kind, request as IncomingMessage, response as ServerResponse)
-                .catch((error: unknown) => refuse(response as ServerResponse, error));
+                .catch((error: unknown) => sendError(response as ServerResponse, error));
         });
     }
 
@@ -159,17 +155,17 @@
         this.router.on(method, path, (request, response, parameters) => {
             readJsonBody(request as IncomingMessage)
                 .then(body => sendJson(response as ServerResponse, okStatus, run(body, parameters.name ?? "")))
-                .catch((error: unknown) => refuse(response as ServerResponse, error));
+                .catch((error: unknown) => sendError(response as ServerResponse, error));
         });
     }
 
     private async answerCall(kind: CallKind, request: IncomingMessage, response: ServerResponse): Promise<void> {
-        if (this.isCutOff(response)) {
+        if (this.isBlockedByFault(response)) {
             return;
         }
         const body = await readJsonBody(request);
         await this.delay();
-        if (this.isCutOff(response)) {
+        if (this.isBlockedByFault(response)) {
             return;
         }
         const answer = this.service.run(kind, body, response);
@@ -183,8 +179,8 @@
         sendJson(response, answer.status, answer.body);
     }
 
-    /** Whether a fault keeps a call from its effect; a connection that is down is destroyed. */
-    private isCutOff(response: ServerResponse): boolean {
+    /** Gets if a fault prevents a call from being executed. Destroys the connection if the stand-in is down. */
+    private isBlockedByFault(response: ServerResponse): boolean {
         if (this.faults.getFaults().down) {
             response.destroy();
             return true;
@@ -200,7 +196,7 @@
     }
 }
 
-function refuse(response: ServerResponse, error: unknown): void {
+function sendError(response: ServerResponse, error: unknown): void {
     const message = error instanceof Error ? error.message : String(error);
     sendJson(response, badRequestStatus, { code: invalidArgumentGrpcCode, message, details: [] });
 }
--- a/standins/platform/rateLimiter.ts
+++ b/standins/platform/rateLimiter.ts
@@ -1,43 +1,42 @@
 import type { Clock } from "../../src/process/clock.ts";
 
-/** Share of a second's calls that may come at once. */
+/** Maximum burst, as the time in which its calls are allowed at the configured rate. */
 const burstSeconds = 0.1;
 const millisecondsPerSecond = 1_000;
 
-/** A token bucket that holds a tenth of a second's calls, and at least one. */
+/** Token bucket with a capacity of 0.1 seconds of calls, but at least one call. */
 export class RateLimiter {
     private readonly clock: Clock;
     private readonly callsPerSecond: number;
     private readonly capacity: number;
     private tokens: number;
-    private filledAt: number;
+    private lastRefillTime: number;
 
     private constructor(clock: Clock, callsPerSecond: number) {
         this.clock = clock;
         this.callsPerSecond = callsPerSecond;
         this.capacity = Math.max(1, callsPerSecond * burstSeconds);
         this.tokens = this.capacity;
-        this.filledAt = clock.getMonotonicTime();
+        this.lastRefillTime = clock.getMonotonicTime();
     }
 
     /**
      * Creates a full bucket.
-     * @param clock - Clock that fills the bucket.
-     * @param callsPerSecond - Calls a second; Infinity for no limit.
+     * @param callsPerSecond - Rate limit; Infinity for no limit.
      */
     static create(clock: Clock, callsPerSecond: number): RateLimiter {
         return new RateLimiter(clock, callsPerSecond);
     }
 
-    /** Takes one call's token. False where the call comes too soon. */
+    /** Takes the token of one call. Returns false if the rate limit is exceeded. */
     tryTake(): boolean {
         if (this.callsPerSecond === Infinity) {
             return true;
         }
         const now = this.clock.getMonotonicTime();
-        const filled = (now - this.filledAt) / millisecondsPerSecond * this.callsPerSecond;
-        this.tokens = Math.min(this.capacity, this.tokens + filled);
-        this.filledAt = now;
+        const refilledTokens = (now - this.lastRefillTime) / millisecondsPerSecond * this.callsPerSecond;
+        this.tokens = Math.min(this.capacity, this.tokens + refilledTokens);
+        this.lastRefillTime = now;
         if (this.tokens < 1) {
             return false;
         }
--- a/standins/platform/standinAnswer.ts
+++ b/standins/platform/standinAnswer.ts
@@ -1,8 +1,8 @@
-/** An answer of the stand-in to one call. */
+/** Response of the stand-in to a call. */
 export interface StandinAnswer {
     /** HTTP status. */
     status: number;
-    /** Sent as JSON. */
+    /** Body, which is sent as JSON. */
     body: object;
     /** Whether the call has changed keys or leases. */
     hasWritten: boolean;
--- a/standins/platform/vmListHistory.ts
+++ b/standins/platform/vmListHistory.ts
@@ -2,12 +2,12 @@
 import type { VmRecord } from "../../src/process/platform/vmList.ts";
 
 interface VmListVersion {
-    /** Monotonic time from which this version stands, in milliseconds. */
+    /** Monotonic time at which this version was created, in milliseconds. */
     since: number;
     vms: ReadonlyMap<string, VmRecord>;
 }
 
-/** The list of machines, shown as it was some time ago. */
+/** VM list that shows its state of some time ago. */
 export class VmListHistory {
     private readonly clock: Clock;
     private readonly lagMilliseconds: number;
@@ -20,26 +20,25 @@
 
     /**
      * Creates an empty list.
-     * @param clock - Source of time.
-     * @param lagMilliseconds - How old the list is that is shown, in milliseconds.
+     * @param lagMilliseconds - Age of the visible state, in milliseconds.
      */
     static create(clock: Clock, lagMilliseconds: number): VmListHistory {
         return new VmListHistory(clock, lagMilliseconds);
     }
 
-    /** Adds or replaces a machine. */
+    /** Adds or replaces a VM. */
     set(name: string, record: VmRecord): void {
         this.add(new Map(this.getNewest()).set(name, record));
     }
 
-    /** Removes a machine; does nothing where it is absent. */
+    /** Removes a VM if it exists. */
     remove(name: string): void {
         const vms = new Map(this.getNewest());
         vms.delete(name);
         this.add(vms);
     }
 
-    /** Gets the machines as they were the lag ago. */
+    /** Gets the VMs as of the lag ago. */
     getVms(): VmRecord[] {
         this.dropOutdated();
         return [...this.versions[0]?.vms.values() ?? []];
@@ -54,10 +53,10 @@
         this.versions.push({ since: this.clock.getMonotonicTime(), vms });
     }
 
-    /** Leaves the version that is shown now at the head, and the newer ones behind it. */
+    /** Removes the versions that are older than the visible one, so that the visible version is the first. */
     private dropOutdated(): void {
-        const shownTime = this.clock.getMonotonicTime() - this.lagMilliseconds;
-        const shown = this.versions.findLastIndex(version => version.since <= shownTime);
-        this.versions = this.versions.slice(Math.max(0, shown));
+        const visibleTime = this.clock.getMonotonicTime() - this.lagMilliseconds;
+        const visibleIndex = this.versions.findLastIndex(version => version.since <= visibleTime);
+        this.versions = this.versions.slice(Math.max(0, visibleIndex));
     }
 }
--- a/standins/platform/watchStreams.ts
+++ b/standins/platform/watchStreams.ts
@@ -16,13 +16,13 @@
 
 interface WatchStreamsOptions {
     clock: Clock;
-    /** Time between progress notices, in milliseconds. */
+    /** Interval between progress notifications, in milliseconds. */
     progressMilliseconds: number;
-    /** Whether a stream must send nothing, because its connection has gone silent. */
+    /** Gets if a stream may not send anything because its connection is silent. */
     isSilent(response: ServerResponse): boolean;
 }
 
-/** The open watches; each is a streamed answer of one JSON text a line. */
+/** Open watches. Each watch is a streamed response with one JSON value per line. */
 export class WatchStreams {
     private readonly options: WatchStreamsOptions;
     private readonly streams = new Set<WatchStream>();
@@ -42,10 +42,8 @@
     }
 
     /**
-     * Opens a watch on a response and sends the changes that it asks for from the past.
-     * @param body - Request.
-     * @param response - Response to stream on.
-     * @param state - Store that is watched.
+     * Opens a watch and sends the requested past changes.
+     * @param response - Response on which the events are streamed.
      */
     open(body: unknown, response: ServerResponse, state: KeyValueState): void {
         const create = etcdRequestSchemas.watch.parse(body).create_request;
@@ -68,14 +66,14 @@
         this.startProgressTimer(state);
     }
 
-    /** Sends the changes of one revision to the watches that ask for them. */
+    /** Sends the changes of one revision to the watches of the changed keys. */
     publish(events: readonly KeyEvent[], revision: number): void {
         for (const stream of this.streams) {
             this.sendEvents(stream, events, revision);
         }
     }
 
-    /** Breaks the connections of all watches. */
+    /** Destroys the connections of all watches. */
     destroyAll(): void {
         for (const stream of this.streams) {
             stream.response.destroy();
@@ -83,7 +81,7 @@
         this.streams.clear();
     }
 
-    /** Breaks all watches and stops the timer. */
+    /** Destroys all watches and stops the timer. */
     close(): void {
         this.destroyAll();
         this.progressTimer?.cancel();
--- a/standins/router/callerKey.ts
+++ b/standins/router/callerKey.ts
@@ -1,2 +1,2 @@
-/** Key of the only customer of the configurations that tests and soaks write. */
+/** API key of the only customer in the configurations of tests and soak runs. */
 export const callerKey = "key-of-one";
--- a/standins/router/createBootFile.ts
+++ b/standins/router/createBootFile.ts
@@ -1,20 +1,20 @@
-/** What the platform tells a node at its start; ports are of the loopback address. */
-interface BootOptions {
+/** Settings that the platform passes to a node at startup. All ports are on the loopback address. */
+interface BootFileOptions {
     vm: string;
     dataCentre: string;
-    /** Ports of the listeners. */
+    /** Port of the listener for callers. */
     callers: number;
     readiness: number;
     peers: number;
     admin: number;
-    /** host:port of other nodes' listeners for peers. */
+    /** Addresses of the peer listeners of other nodes, as host:port. */
     seeds: readonly string[];
-    /** host:port of the store. */
+    /** Address of the platform's store, as host:port. */
     store: string;
 }
 
-/** Creates the settings file that the platform writes for a node. */
-export function createBootFile(options: BootOptions): string {
+/** Creates the content of the settings file that the platform writes for a node. */
+export function createBootFile(options: BootFileOptions): string {
     const { vm, dataCentre, callers, readiness, peers, admin, seeds, store } = options;
     return JSON.stringify({
         node_name: vm,
--- a/standins/router/createConfiguration.ts
+++ b/standins/router/createConfiguration.ts
@@ -1,10 +1,9 @@
 import { callerKey } from "./callerKey.ts";
 
 /**
- * Creates a configuration in the platform's form.
- * @param version - Its version.
- * @param changes - Members that replace its own.
- * @param engineChanges - Members that replace those of the model's engines.
+ * Creates a configuration in the format of the platform.
+ * @param changes - Overrides of the members of the configuration.
+ * @param engineChanges - Overrides of the members of the engine configuration.
  */
 export function createConfiguration(
     version: number,
--- a/standins/router/createEndpointRecord.ts
+++ b/standins/router/createEndpointRecord.ts
@@ -1,19 +1,19 @@
-/** What an endpoint writes of itself. */
+/** Options of {@link createEndpointRecord}. */
 interface EndpointRecordOptions {
     service: string;
-    /** host:port. */
+    /** Address of the endpoint as host:port. */
     address: string;
     /** `ready` or `draining`. Default: `ready`. */
     state?: string;
-    /** Requests that it runs at the same time. Default: 6. */
+    /** Maximum number of concurrent requests. Default: 6. */
     slots?: number;
-    /** Layers that a stage of the model holds; null where it holds none yet, undefined for other endpoints. */
+    /** Layers of the model that the endpoint holds: null if none yet, undefined for an endpoint without a model. */
     layers?: { from: number; to: number; } | null;
-    /** When it started, in Unix milliseconds. Default: 1,000. */
+    /** Start time of the endpoint, in Unix milliseconds. Default: 1,000. */
     born?: number;
 }
 
-/** Creates the record that an endpoint writes into the platform's store. */
+/** Creates the record that an endpoint writes to the platform's store. */
 export function createEndpointRecord(options: EndpointRecordOptions): Record<string, unknown> {
     const { service, address, state = "ready", slots = 6, layers, born = 1_000 } = options;
     return {
--- a/standins/router/endpointBehaviour.ts
+++ b/standins/router/endpointBehaviour.ts
@@ -1,27 +1,27 @@
-/** What the stand-in does with a request. */
+/** How the stand-in handles requests. */
 export interface EndpointBehaviour {
-    /** Refuses as not run, with this status. */
+    /** Refuses requests with this status and marks them as not executed. */
     refuseWith?: number;
-    /** Runs the request and breaks the connection without an answer. */
+    /** Runs the request and resets the connection without a response. */
     losesAnswer?: boolean;
-    /** Runs the request and answers with this status. */
+    /** Runs the request and responds with this status. */
     failWith?: number;
-    /** Names another request in its answer. */
+    /** Sends a different request ID in the response. */
     answersWrongRequest?: boolean;
-    /** Leaves the signature out. */
+    /** Omits the signature of the response. */
     isUnsigned?: boolean;
-    /** Sends bytes after its answer. */
+    /** Sends additional bytes after the response. */
     sendsExtra?: boolean;
-    /** Answers without a length and then resets the connection. */
+    /** Sends a response without a length and then resets the connection. */
     resetsUnframed?: boolean;
-    /** Breaks a stream off in the middle of the event after this one. */
+    /** Closes the connection of a stream in the middle of the event that follows this event. */
     cutsAfterEvent?: number;
-    /** Ends, with all its connections, soon after it began to run a request with this body. */
+    /** Stops the endpoint and closes all its connections shortly after it starts to run a request with this body. */
     endsOnBody?: string;
-    /** Falls silent after this event until it is moved to another chain. */
+    /** Stalls a stream after this event until an order moves the request to another chain. */
     stallsAfterEvent?: number;
-    /** Names this as the requests a second that it takes from all nodes together. */
+    /** Rate limit for all nodes together, which the endpoint sends in its responses. */
     requestsPerSecond?: number;
-    /** Answers this much later, in milliseconds. */
+    /** Delay of the response, in milliseconds. */
     delayMilliseconds?: number;
 }
--- a/standins/router/endpointStandin.ts
+++ b/standins/router/endpointStandin.ts
@@ -6,40 +6,39 @@
 /** Options of an {@link EndpointStandin}. */
 interface EndpointStandinOptions {
     id: string;
-    /** Events of each stream. */
+    /** Number of events per stream. Default: 5. */
     events?: number;
-    /** Time between two events, in milliseconds. */
+    /** Interval between two events, in milliseconds. Default: 5. */
     eventMilliseconds?: number;
-    /** Layers that it holds at first. */
+    /** Layers that the endpoint holds initially. */
     layers?: { from: number; to: number; };
-    /** Called when an order has changed its layers. */
+    /** Called when an order has changed the layers. */
     onLayers?(layers: { from: number; to: number; }): void;
-    /** Called when a request has ended it. */
+    /** Called when a request has stopped the endpoint. */
     onEnded?(): void;
 }
 
-/** Time from the beginning of a run that ends the endpoint to that end, in milliseconds. */
-const endMilliseconds = 20;
+const stopDelayMilliseconds = 20;
 
-/** A stand-in of the platform's endpoints: document answers, streams, reports and orders. */
+/** Stand-in for an endpoint of the platform. It serves documents, streams, reports and orders. */
 export class EndpointStandin {
     behaviour: EndpointBehaviour = {};
     layers: { from: number; to: number; } | undefined;
-    /** When it started, in Unix milliseconds. */
+    /** Start time of the endpoint, in Unix milliseconds. */
     born = 1_000;
     readonly runs: RunRecord[] = [];
     readonly orders: Record<string, unknown>[] = [];
-    /** Ids of requests whose stream waits for another chain, with the address at fault. */
+    /** Requests whose stream waits for another chain: the address of the failed stage by request ID. */
     readonly stalled = new Map<string, string>();
-    /** Address that the report names for stalled streams. */
+    /** Address of the failed stage to report for stalled streams. */
     stalledAt = "";
-    /** Whether it takes no connections any more. */
+    /** Whether the endpoint has stopped. */
     hasEnded = false;
     private readonly options: EndpointStandinOptions;
     private readonly server: Server;
-    private readonly resumes = new Map<string, () => void>();
+    private readonly resumeCallbacks = new Map<string, () => void>();
     private sequence = 0;
-    private highestFence = 0;
+    private highestFencingNumber = 0;
 
     private constructor(options: EndpointStandinOptions) {
         this.options = options;
@@ -54,26 +53,26 @@
         return standin;
     }
 
-    /** Gets host:port. */
+    /** Gets the address as host:port. */
     getAddress(): string {
         return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
     }
 
-    /** Stops, with all connections. */
+    /** Stops the endpoint and closes all connections. */
     async close(): Promise<void> {
         if (!this.hasEnded) {
-            await this.end();
+            await this.stop();
         }
     }
 
-    private async endByRequest(): Promise<void> {
+    private async stopByRequest(): Promise<void> {
         if (!this.hasEnded) {
-            await this.end();
+            await this.stop();
             this.options.onEnded?.();
         }
     }
 
-    private async end(): Promise<void> {
+    private async stop(): Promise<void> {
         this.hasEnded = true;
         await new Promise(resolve => {
             this.server.close(resolve);
@@ -88,17 +87,17 @@
         }
         const body = Buffer.concat(chunks).toString("utf8");
         if (request.url === "/v1/report") {
-            this.report(response);
+            this.sendReport(response);
             return;
         }
         if (request.url === "/v1/order") {
-            this.takeOrder(JSON.parse(body) as Record<string, unknown>, response);
+            this.handleOrder(JSON.parse(body) as Record<string, unknown>, response);
             return;
         }
-        this.run(request, response, body);
+        this.runRequest(request, response, body);
     }
 
-    private report(response: ServerResponse): void {
+    private sendReport(response: ServerResponse): void {
         const stalled = [...this.stalled.keys()].map(id => ({ id, address: this.stalledAt }));
         sendJson(response, 200, {
             pace: 1,
@@ -112,22 +111,22 @@
         });
     }
 
-    private takeOrder(order: Record<string, unknown>, response: ServerResponse): void {
+    private handleOrder(order: Record<string, unknown>, response: ServerResponse): void {
         this.orders.push(order);
         if (order["operation"] === "repath") {
             const id = String(order["id"]);
-            const resume = this.resumes.get(id);
+            const resume = this.resumeCallbacks.get(id);
             this.stalled.delete(id);
             sendJson(response, resume === undefined ? 404 : 202, {});
             resume?.();
             return;
         }
-        const fence = Number(order["fence"] ?? 0);
-        if (fence < this.highestFence) {
+        const fencingNumber = Number(order["fence"] ?? 0);
+        if (fencingNumber < this.highestFencingNumber) {
             sendJson(response, 412, {});
             return;
         }
-        this.highestFence = fence;
+        this.highestFencingNumber = fencingNumber;
         if (order["expected"] !== undefined && order["expected"] !== this.sequence) {
             sendJson(response, 409, {});
             return;
@@ -138,7 +137,7 @@
         this.options.onLayers?.(this.layers);
     }
 
-    private run(request: IncomingMessage, response: ServerResponse, body: string): void {
+    private runRequest(request: IncomingMessage, response: ServerResponse, body: string): void {
         const id = String(request.headers["request-id"]);
         const { behaviour } = this;
         const expected = request.headers["expect-instance"];
@@ -157,13 +156,13 @@
             record.isAbandoned = !response.writableFinished;
         });
         if (behaviour.endsOnBody === body) {
-            setTimeout(() => void this.endByRequest(), endMilliseconds);
+            setTimeout(() => void this.stopByRequest(), stopDelayMilliseconds);
             return;
         }
-        setTimeout(() => this.answer(request, response, record), behaviour.delayMilliseconds ?? 0);
+        setTimeout(() => this.sendAnswer(request, response, record), behaviour.delayMilliseconds ?? 0);
     }
 
-    private answer(request: IncomingMessage, response: ServerResponse, { id, headers }: RunRecord): void {
+    private sendAnswer(request: IncomingMessage, response: ServerResponse, { id, headers }: RunRecord): void {
         const { behaviour } = this;
         if (behaviour.losesAnswer === true) {
             request.socket.resetAndDestroy();
@@ -209,7 +208,7 @@
         }
         if (behaviour.stallsAfterEvent !== undefined && event === behaviour.stallsAfterEvent + 1) {
             this.stalled.set(id, this.stalledAt);
-            this.resumes.set(id, () => {
+            this.resumeCallbacks.set(id, () => {
                 this.behaviour = { ...this.behaviour, stallsAfterEvent: undefined };
                 this.streamFrom(event, id, response);
             });
--- a/standins/router/keyValueFaults.ts
+++ b/standins/router/keyValueFaults.ts
@@ -1,9 +1,9 @@
-/** How the stand-in misbehaves. */
+/** Faults of the key-value store stand-in. */
 export interface KeyValueFaults {
-    /** Status that every call gets. */
+    /** Status with which all calls are refused. */
     refuseWith?: number;
-    /** Calls get no answer. */
+    /** Whether calls get no response. */
     isSilent?: boolean;
-    /** Writes are done and get no answer. */
+    /** Whether the connection of a write is closed without a response after the write was executed. */
     losesAnswers?: boolean;
 }
--- a/standins/router/keyValueStandin.ts
+++ b/standins/router/keyValueStandin.ts
@@ -2,16 +2,16 @@
 import type { AddressInfo } from "node:net";
 import type { KeyValueFaults } from "./keyValueFaults.ts";
 
-/** A value as the store keeps it; undefined where it was deleted. */
+/** A stored key. The value is undefined if the key was deleted. */
 interface StoredItem {
     key: string;
-    /** Base64. */
+    /** Value in base64. */
     value: string | undefined;
     revision: number;
     created: number;
 }
 
-/** The body of a transaction. */
+/** Request body of a transaction. */
 interface Transaction {
     expected: { key: string; revision: number; }[];
     puts: { key: string; value: string; }[];
@@ -20,57 +20,57 @@
 
 const pageSize = 20;
 
-/** A stand-in of the platform's key-value store: keys, ranges, watches and transactions over HTTP. */
+/** Stand-in for the platform's key-value store, with keys, ranges, watches and transactions over HTTP. */
 export class KeyValueStandin {
     faults: KeyValueFaults = {};
-    /** Calls by path. */
+    /** Number of calls by path. */
     readonly calls = new Map<string, number>();
     private readonly server: Server;
     private readonly items = new Map<string, StoredItem>();
-    private readonly waiting = new Set<() => void>();
+    private readonly pendingWatches = new Set<() => void>();
     private revision = 1;
-    private forgottenUntil = 0;
+    private compactedRevision = 0;
 
     private constructor() {
         this.server = createServer((request, response) => void this.handle(request, response));
     }
 
-    /** Starts a store without keys on a free port of the loopback address. */
+    /** Starts an empty store on a free port of the loopback address. */
     static async create(): Promise<KeyValueStandin> {
         const standin = new KeyValueStandin();
         await new Promise<void>(resolve => standin.server.listen(0, "127.0.0.1", resolve));
         return standin;
     }
 
-    /** Gets host:port. */
+    /** Gets the address as host:port. */
     getAddress(): string {
         return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
     }
 
-    /** Writes a key as an operator or an endpoint does. */
+    /** Writes a value as JSON, like an operator or an endpoint. */
     put(key: string, value: object): void {
         this.write(key, Buffer.from(JSON.stringify(value)).toString("base64"));
-        this.wake();
+        this.checkPendingWatches();
     }
 
     /** Deletes a key. */
     remove(key: string): void {
         this.write(key, undefined);
-        this.wake();
+        this.checkPendingWatches();
     }
 
-    /** Drops the history; watches from before get 410. */
+    /** Compacts the history. Watches that start at an earlier revision get status 410. */
     compact(): void {
-        this.forgottenUntil = this.revision;
+        this.compactedRevision = this.revision;
     }
 
-    /** Gets the text under a key. */
+    /** Gets the value of a key as text. */
     getText(key: string): string | undefined {
         const value = this.items.get(key)?.value;
         return value === undefined ? undefined : Buffer.from(value, "base64").toString("utf8");
     }
 
-    /** Stops, with all connections. */
+    /** Stops the store and closes all connections. */
     async close(): Promise<void> {
         await new Promise(resolve => {
             this.server.close(resolve);
@@ -84,8 +84,8 @@
         this.items.set(key, { key, value, revision: this.revision, created });
     }
 
-    private wake(): void {
-        for (const check of [...this.waiting]) {
+    private checkPendingWatches(): void {
+        for (const check of [...this.pendingWatches]) {
             check();
         }
     }
@@ -98,7 +98,7 @@
             return;
         }
         if (this.faults.refuseWith !== undefined) {
-            send(response, this.faults.refuseWith, { error: "Refused by a fault." });
+            sendJson(response, this.faults.refuseWith, { error: "Refused by an injected fault." });
             return;
         }
         switch (url.pathname) {
@@ -111,17 +111,17 @@
             case "/v1/kv-txn":
                 return this.answerTransaction(JSON.parse(text) as Transaction, response);
             default:
-                send(response, 404, { error: "Unknown path." });
+                sendJson(response, 404, { error: "Unknown path." });
         }
     }
 
     private answerKey(url: URL, response: ServerResponse): void {
         const item = this.items.get(url.searchParams.get("key") ?? "");
         if (item?.value === undefined) {
-            send(response, 404, {});
+            sendJson(response, 404, {});
             return;
         }
-        send(response, 200, { ...item, lease: 0, at: this.revision });
+        sendJson(response, 200, { ...item, lease: 0, at: this.revision });
     }
 
     private answerRange(url: URL, response: ServerResponse): void {
@@ -131,7 +131,7 @@
             value !== undefined && key.startsWith(prefix) && key > after
         );
         items.sort((left, right) => left.key < right.key ? -1 : 1);
-        send(response, 200, {
+        sendJson(response, 200, {
             items: items.slice(0, pageSize),
             has_more: items.length > pageSize,
             at: this.revision,
@@ -142,7 +142,7 @@
         const prefix = url.searchParams.get("prefix") ?? "";
         const after = Number(url.searchParams.get("after"));
         const answerIfChanged = (isLast: boolean) => {
-            if (after < this.forgottenUntil) {
+            if (after < this.compactedRevision) {
                 finish(410, {});
                 return;
             }
@@ -161,14 +161,14 @@
         const timer = setTimeout(() => answerIfChanged(true), Number(url.searchParams.get("wait_ms")));
         const finish = (status: number, body: object) => {
             clearTimeout(timer);
-            this.waiting.delete(check);
-            send(response, status, body);
+            this.pendingWatches.delete(check);
+            sendJson(response, status, body);
         };
         response.once("close", () => {
             clearTimeout(timer);
-            this.waiting.delete(check);
+            this.pendingWatches.delete(check);
         });
-        this.waiting.add(check);
+        this.pendingWatches.add(check);
         check();
     }
 
@@ -179,7 +179,7 @@
         });
         if (!isMet) {
             const items = expected.map(({ key }) => this.items.get(key)).filter(item => item?.value !== undefined);
-            send(response, 412, { items });
+            sendJson(response, 412, { items });
             return;
         }
         for (const { key, value } of puts) {
@@ -188,12 +188,12 @@
         for (const key of remove) {
             this.write(key, undefined);
         }
-        this.wake();
+        this.checkPendingWatches();
         if (this.faults.losesAnswers === true) {
             response.destroy();
             return;
         }
-        send(response, 200, { revision: this.revision });
+        sendJson(response, 200, { revision: this.revision });
     }
 }
 
@@ -205,6 +205,6 @@
     return Buffer.concat(chunks).toString("utf8");
 }
 
-function send(response: ServerResponse, status: number, body: object): void {
+function sendJson(response: ServerResponse, status: number, body: object): void {
     response.writeHead(status, { "content-type": "application/json" }).end(JSON.stringify(body));
 }
--- a/standins/router/runRecord.ts
+++ b/standins/router/runRecord.ts
@@ -1,14 +1,14 @@
 import type { IncomingHttpHeaders } from "node:http";
 
-/** A request that the stand-in has run. */
+/** A request that the endpoint stand-in has run. */
 export interface RunRecord {
     id: string;
     method: string;
     url: string;
     headers: IncomingHttpHeaders;
     body: string;
-    /** Wall-clock time in milliseconds. */
+    /** Arrival time, in Unix milliseconds. */
     arrivedAt: number;
-    /** Whether its connection closed before the answer was whole. */
+    /** Whether the connection was closed before the response was complete. */
     isAbandoned: boolean;
 }
--- a/tests/standins/documentStandin.test.ts
+++ b/tests/standins/documentStandin.test.ts
@@ -17,7 +17,7 @@
     });
 
 describe("DocumentStandin", () => {
-    it("answers any call and counts executions by key", async context => {
+    it("responds to any call and counts executions by idempotency key", async context => {
         const service = await start(context);
         await call(service);
         assert.deepEqual(await (await call(service)).json(), {
@@ -30,7 +30,7 @@
         assert.deepEqual(service.getRecord(), { total: 2, executions: { k: 2 } });
     });
 
-    it("refuses or resets as asked, and counts only what ran", async context => {
+    it("injects refusals and resets, and counts only executed calls", async context => {
         const service = await start(context);
         service.setFaults({ refuseNext: 1 });
         const refused = await call(service);
--- a/tests/standins/engineHarness.ts
+++ b/tests/standins/engineHarness.ts
@@ -2,13 +2,13 @@
 import type { Pass, PassResult } from "../../src/connection/endpoint/engineProtocol.ts";
 import { EngineStandin } from "../../standins/engine/engineStandin.ts";
 
-/** Layers of the tests' model. */
+/** Total number of layers of the test model. */
 const modelLayers = 12;
 
-/** Starts engines for a test and sends them passes. */
+/** Starts engine stand-ins for tests and sends passes to them. */
 export const engineHarness = {
     modelLayers,
-    /** Starts an engine that holds some layers and stops it after the test. */
+    /** Starts an engine that holds all layers of the test model, and stops it after the test. */
     async start(context: TestContext, options: Partial<Parameters<typeof EngineStandin.create>[0]> = {}) {
         const engine = EngineStandin.create({
             name: "engine",
@@ -24,7 +24,7 @@
         await engine.listen();
         return engine;
     },
-    /** Makes a pass of three words through all layers. */
+    /** Creates a pass of three words through all layers, with overrides. */
     createPass: (change: Partial<Pass> = {}): Pass => ({
         id: 1,
         request: "r",
@@ -37,16 +37,16 @@
         ...(change.tokens || change.hidden ? {} : { text: "one two three" }),
         ...change,
     }),
-    /** Posts a JSON value. */
+    /** Sends a JSON value in a POST request. */
     post: (engine: { getAddress(): string; }, path: string, body: unknown): Promise<Response> =>
         fetch(`http://${engine.getAddress()}${path}`, { method: "POST", body: JSON.stringify(body) }),
-    /** Sends passes as one batch and gets their results in order of completion. */
+    /** Sends passes as one batch and returns their results in order of completion. */
     async send(engine: EngineStandin, ...passes: Pass[]): Promise<PassResult[]> {
         const response = await engineHarness.post(engine, "/v1/passes", { passes });
         const lines = (await response.text()).trim().split("\n");
         return lines.map(line => JSON.parse(line) as PassResult);
     },
-    /** Sends one pass. */
+    /** Sends one pass and returns its result. */
     async sendOne(engine: EngineStandin, change: Partial<Pass> = {}): Promise<Partial<PassResult>> {
         return (await engineHarness.send(engine, engineHarness.createPass(change)))[0] ?? {};
     },
--- a/tests/standins/engineStandin.test.ts
+++ b/tests/standins/engineStandin.test.ts
@@ -36,13 +36,13 @@
     }
 
     for (const bounds of [[0, 12], [0, 5, 12], [0, 4, 5, 12]]) {
-        it(`gives the reference answer over ${bounds.length - 1} engines`, async context => {
+        it(`computes the reference answer with ${bounds.length - 1} engines`, async context => {
             await doTest(context, bounds, "explain this payslip");
             await doTest(context, bounds, "");
         });
     }
 
-    it("reaches an answer's end for some prompt", () => {
+    it("ends some answers before the maximum number of tokens, but not all", () => {
         const answers = Array.from(
             { length: 50 },
             (_, index) => referenceAnswer({ modelLayers, prompt: `prompt ${index}`, maximumTokens: 200 }),
@@ -52,7 +52,7 @@
 });
 
 describe("passes", () => {
-    it("runs a repeated pass once, waiting or done", async context => {
+    it("runs a repeated pass once, while it is pending and after it has run", async context => {
         const engine = await start(context);
         const results = await send(engine, createPass(), createPass({ id: 2 }));
         const later = await sendOne(engine, { id: 3 });
@@ -61,7 +61,7 @@
         assert.equal(engine.record.summary.repeatedPasses, 2);
     });
 
-    it("merges a sequence's runs in its record", async context => {
+    it("merges consecutive runs of a sequence in the execution record", async context => {
         const engine = await start(context);
         await sendOne(engine);
         await sendOne(engine, { position: 3, tokens: [77] });
@@ -77,18 +77,19 @@
         assert.equal(engine.record.summary.passes, 1);
     }
 
-    it("refuses a position out of order", context => doRefusalTest(context, "order", { position: 2, tokens: [5] }));
-    it("refuses a start in the middle", context =>
+    it("refuses a pass at the wrong position", context =>
+        doRefusalTest(context, "order", { position: 2, tokens: [5] }));
+    it("refuses a new sequence that does not start at position 0", context =>
         doRefusalTest(context, "order", { request: "s", position: 3, tokens: [5] }));
-    it("refuses layers not held", context =>
+    it("refuses layers that are not held", context =>
         doRefusalTest(context, "layers", { request: "s", layerEnd: modelLayers + 1 }));
     it("refuses an unknown model", context => doRefusalTest(context, "model", { request: "s", model: "n" }));
-    it("refuses what does not fit", context =>
+    it("refuses a sequence that does not fit in memory", context =>
         doRefusalTest(context, "memory", { request: "s" }, { memoryPositions: 5 }));
     it("refuses too many sequences", context =>
         doRefusalTest(context, "memory", { request: "s" }, { maximumSequences: 1 }));
 
-    it("refuses cancelled and older attempts, and reuses their memory", async context => {
+    it("refuses a cancelled attempt and reuses its memory", async context => {
         const engine = await start(context, { maximumSequences: 1 });
         await sendOne(engine);
         assert.equal((await sendOne(engine, { attempt: 1, rebuild: true })).reason, "memory");
@@ -98,7 +99,7 @@
         assert.equal(engine.record.summary.rebuildLayerPositions, 3 * modelLayers);
     });
 
-    it("continues running sequences while leaving, and starts none", async context => {
+    it("continues running sequences while leaving, but starts no new ones", async context => {
         const engine = await start(context);
         await sendOne(engine);
         engine.setFaults({ leaving: true });
@@ -116,7 +117,7 @@
         assert.deepEqual(await sendOne(target, next), await sendOne(single, next));
     });
 
-    it("fails in part where asked, and keeps that result", async context => {
+    it("runs a failing pass partially and stores its result", async context => {
         const engine = await start(context);
         engine.setFaults({ failNextPasses: 1 });
         assert.equal((await sendOne(engine)).outcome, "failed");
@@ -125,13 +126,13 @@
         assert.equal(engine.record.summary.layerPositions, 3 * modelLayers / 2);
     });
 
-    it("runs the higher priority first", async context => {
+    it("runs passes with a higher priority first", async context => {
         const engine = await start(context, { maximumBatchPositions: 3 });
         const results = await send(engine, createPass(), createPass({ request: "s", priority: 2 }));
         assert.deepEqual(results.map(result => result.request), ["s", "r"]);
     });
 
-    it("publishes cached prefixes with gaps", async context => {
+    it("publishes cache events with gaps", async context => {
         const engine = await start(context, { cacheEventDelayMilliseconds: 0, cacheEventGapEvery: 2 });
         const text = "word ".repeat(16 * 20);
         await sendOne(engine, { text });
@@ -142,7 +143,7 @@
         assert.deepEqual(engine.cacheEvents.getEvents(events[0]?.sequence ?? 0), events.slice(1));
     });
 
-    it("answers bad input with a status and lives", async context => {
+    it("responds to invalid input with an error status and keeps running", async context => {
         const engine = await start(context);
         const post400 = [{ passes: [createPass({ text: undefined })] }, { passes: 1 }, [], "x"];
         for (const body of post400) {
@@ -163,7 +164,7 @@
         assert.equal(engine.getStatus().fencingNumber, 5);
     }
 
-    it("holds ordered layers once the weights are loaded", async context => {
+    it("holds the layers of a load order once the weights are loaded", async context => {
         const engine = await start(context, { layers: [], weightLoadMilliseconds: 1 });
         const range = { model: "m", start: 0, end: modelLayers };
         await post(engine, "/v1/orders", { fencingNumber: 1, kind: "load", range });
@@ -181,12 +182,12 @@
         );
     });
 
-    it("refuses an old fencing number where it checks", context => doTest(context, true, 409, true));
-    it("obeys an old fencing number where it does not", context => doTest(context, false, 200, false));
+    it("refuses an old fencing number if it checks fencing", context => doTest(context, true, 409, true));
+    it("accepts an old fencing number if it does not check fencing", context => doTest(context, false, 200, false));
 });
 
 describe("connection faults", () => {
-    it("keeps open connections silent for good while new ones work", async context => {
+    it("permanently silences open connections while new ones work", async context => {
         const engine = await start(context, { stepBaseMilliseconds: 30 });
         const silent = post(engine, "/v1/passes", { passes: [createPass()] }).then(response => response.text());
         while (engine.record.summary.passes === 0) {
@@ -201,7 +202,7 @@
         await assert.rejects(silent);
     });
 
-    it("holds all answers while frozen, but for the test's own paths", async context => {
+    it("defers all requests while frozen, except on control paths", async context => {
         const engine = await start(context);
         await post(engine, "/standin/faults", { freeze: true });
         const answer = sendOne(engine);
@@ -211,7 +212,7 @@
         assert.equal((await answer).outcome, "done");
     });
 
-    it("resets mid-answer after the run, and keeps the result", async context => {
+    it("resets the connection during the response and stores the result", async context => {
         const engine = await start(context);
         engine.setFaults({ resetNextBatches: 1 });
         await assert.rejects(sendOne(engine));
--- a/tests/standins/loopbackProxy.test.ts
+++ b/tests/standins/loopbackProxy.test.ts
@@ -38,7 +38,7 @@
         return await answer.body.text();
     }
 
-    it("passes bytes on, also with a delay", async () => {
+    it("forwards bytes with and without a delay", async () => {
         assert.equal(await call(), "answer");
         proxy.setMode(ProxyMode.Delay);
         const startedAt = Date.now();
@@ -46,9 +46,9 @@
         assert.ok(Date.now() - startedAt >= 290);
     });
 
-    // Seed 341 of the soak: a delay ended in the middle of a stream, whose later events overtook those that were still held up ("The events
-    // are 1 11 12 ..."). No connection does that.
-    it("keeps the order of bytes where a delay ends between them", async context => {
+    // Guards against reordering: when the delay mode ended in the middle of a stream, later events were forwarded before
+    // earlier events that were still delayed. TCP never reorders the bytes of a connection.
+    it("keeps the order of bytes when the delay mode ends in the middle of a stream", async context => {
         const parts = ["1", "2", "3", "4"];
         const streaming = createServer(async (_, response) => {
             for (const part of parts) {
@@ -67,7 +67,7 @@
         delaying.setMode(ProxyMode.Delay);
         const signal = AbortSignal.timeout(3_000);
         const answer = request(`http://${delaying.getAddress()}/`, { signal, reset: true });
-        // The request itself is held up first.
+        // The request itself is delayed first.
         await wait(380);
         delaying.setMode(ProxyMode.Pass);
         assert.equal(await (await answer).body.text(), parts.join(""));
@@ -79,19 +79,19 @@
         assert.equal(arrived, 0);
     });
 
-    it("cuts the way of the requests", async () => {
+    it("drops the bytes of requests", async () => {
         proxy.setMode(ProxyMode.CutRequests);
         await assert.rejects(call());
         assert.equal(arrived, 0);
     });
 
-    it("cuts the way of the answers", async () => {
+    it("drops the bytes of responses", async () => {
         proxy.setMode(ProxyMode.CutAnswers);
         await assert.rejects(call());
         assert.equal(arrived, 1);
     });
 
-    it("falls silent, and passes bytes on again", async () => {
+    it("drops all bytes in silence mode and works again afterwards", async () => {
         proxy.setMode(ProxyMode.Silence);
         await assert.rejects(call());
         assert.equal(arrived, 0);
