--- a/standins/engine/sequence/sequenceStore.ts
+++ b/standins/engine/sequence/sequenceStore.ts
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Adds a sequence if it fits in memory. Idle sequences are dropped before, and superseded ones if memory is short.
+     * Adds a sequence if it fits in memory. Drops idle sequences first, and superseded ones if memory is short.
      * @param identity - Request, attempt and model. The model must be known.
-     * @param layerPositions - Memory that the sequence requires at first, in positions of one layer.
+     * @param layerPositions - Initially required memory, in positions of one layer.
      */
     addSequence(identity: Identity, layerPositions: number): Result<Sequence, "memory"> {
         this.dropIdle();
--- a/standins/engine/step/stepLoop.ts
+++ b/standins/engine/step/stepLoop.ts
@@ -7,9 +7,9 @@
 import type { PassRunner } from "./passRunner.ts";
 import type { WaitingPass } from "./waitingPass.ts";
 
-/** Limits how much the deviation of earlier timers shortens or lengthens later steps. */
+/** Maximum deviation of earlier timers that shortens or lengthens later steps. */
 const maximumTimerDriftMilliseconds = 4;
-/** Shorter waits don't use a timer. */
+/** Shorter waits use `setImmediate` instead of a timer. */
 const minimumTimerMilliseconds = 0.5;
 
 /** Options of {@link StepLoop}. */
--- a/standins/network/delayLine.ts
+++ b/standins/network/delayLine.ts
@@ -7,7 +7,7 @@
 
 /** Runs actions after a delay and always in the order of their arrival, so the bytes of a connection stay in order. */
 export class DelayLine {
-    private readonly waiting: DelayedAction[] = [];
+    private readonly actions: DelayedAction[] = [];
     private timer: NodeJS.Timeout | undefined;
 
     private constructor() {}
@@ -22,16 +22,16 @@
      * @param delayMilliseconds - Minimum delay.
      */
     add(delayMilliseconds: number, action: () => void): void {
-        if (delayMilliseconds === 0 && this.waiting.length === 0) {
+        if (delayMilliseconds === 0 && this.actions.length === 0) {
             action();
             return;
         }
-        this.waiting.push({ dueAt: performance.now() + delayMilliseconds, run: action });
+        this.actions.push({ dueAt: performance.now() + delayMilliseconds, run: action });
         this.schedule();
     }
 
     private schedule(): void {
-        const [first] = this.waiting;
+        const [first] = this.actions;
         if (first !== undefined) {
             this.timer ??= setTimeout(() => this.runDueActions(), Math.max(0, first.dueAt - performance.now()));
         }
@@ -40,11 +40,11 @@
     private runDueActions(): void {
         this.timer = undefined;
         for (
-            let [first] = this.waiting;
+            let [first] = this.actions;
             first !== undefined && first.dueAt <= performance.now();
-            [first] = this.waiting
+            [first] = this.actions
         ) {
-            this.waiting.shift();
+            this.actions.shift();
             first.run();
         }
         this.schedule();
--- a/standins/platform/keyValueState.ts
+++ b/standins/platform/keyValueState.ts
@@ -58,7 +58,7 @@
         return records.sort((left, right) => left.key < right.key ? -1 : 1);
     }
 
-    /** Gets the kept changes, starting with a revision. */
+    /** Gets the kept changes since a revision (inclusive). */
     getEventsSince(revision: number): KeyEvent[] {
         return this.history.filter(event => event.record.modRevision >= revision);
     }
--- a/standins/platform/rateLimiter.ts
+++ b/standins/platform/rateLimiter.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../../src/process/clock.ts";
 
-/** Maximum burst, as the time in which its calls are allowed at the configured rate. */
+/** Maximum burst, in seconds of calls at the configured rate. */
 const burstSeconds = 0.1;
 const millisecondsPerSecond = 1_000;
 
--- a/standins/platform/vmListHistory.ts
+++ b/standins/platform/vmListHistory.ts
@@ -7,7 +7,7 @@
     vms: ReadonlyMap<string, VmRecord>;
 }
 
-/** VM list that shows its state of some time ago. */
+/** VM list whose visible state lags behind. */
 export class VmListHistory {
     private readonly clock: Clock;
     private readonly lagMilliseconds: number;
@@ -38,7 +38,7 @@
         this.add(vms);
     }
 
-    /** Gets the VMs as of the lag ago. */
+    /** Gets the VMs as they were `lagMilliseconds` ago. */
     getVms(): VmRecord[] {
         this.dropOutdated();
         return [...this.versions[0]?.vms.values() ?? []];
