--- a/standins/platform/leaseTable.ts
+++ b/standins/platform/leaseTable.ts
@@ -14,9 +14,9 @@
     private readonly leases = new Map<string, Lease>();
     private nextId: bigint;
 
-    private constructor(clock: Clock, onLapsed: (leaseId: string) => void) {
+    private constructor(clock: Clock, onExpired: (leaseId: string) => void) {
         this.clock = clock;
-        this.onExpired = onLapsed;
+        this.onExpired = onExpired;
         this.nextId = BigInt(Math.floor(clock.getWallTime())) << 20n;
     }
 
