--- a/tests/system/waitFor.ts
+++ b/tests/system/waitFor.ts
@@ -4,22 +4,23 @@
 const defaultLimitMilliseconds = 15_000;
 
 /**
- * Waits for what has to be asked of a process; the limit is only there to end a test that hangs.
- * @param what - What is waited for, for the error.
- * @param condition - Asked again and again.
- * @param limitMilliseconds - Longest wait, in milliseconds.
+ * Polls a condition until it is true.
+ * @param what - Describes the condition in the error message.
+ * @param condition - The condition.
+ * @param limitMilliseconds - Maximum wait, which only ends a hanging test.
+ * @throws Error if the condition is not true in time.
  */
 export async function waitFor(
     what: string,
     condition: () => Promise<boolean>,
     limitMilliseconds = defaultLimitMilliseconds,
 ): Promise<void> {
-    const giveUpAt = Date.now() + limitMilliseconds;
-    while (Date.now() < giveUpAt) {
+    const deadline = Date.now() + limitMilliseconds;
+    while (Date.now() < deadline) {
         if (await condition()) {
             return;
         }
         await sleep(pollMilliseconds);
     }
-    throw new Error(`Waited in vain until ${what}.`);
+    throw new Error(`Timed out waiting until ${what}.`);
 }
