--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,6 +1,6 @@
 /**
  * Demo of foxlead: starts stand-ins and three nodes as separate processes, applies a configuration with the command line,
- * sends model and document requests through different nodes, and stops gracefully. `--waitForInterrupt` keeps the processes running
+ * sends model and document requests through different nodes, and stops gracefully. `--keep` keeps the processes running
  * until Ctrl-C.
  */
 import { spawnSync } from "node:child_process";
@@ -105,7 +105,7 @@
 async function waitForInterrupt(): Promise<void> {
     const { callerAddress, adminAddress } = deployment.nodes[0]!;
     const authorization = `-H 'authorization: Bearer ${deployment.apiKey}'`;
-    console.log("The processes waitForInterrupt running until Ctrl-C. Try:");
+    console.log("The processes keep running until Ctrl-C. Try:");
     console.log(`  curl -N http://${callerAddress}/v1/chat/completions ${authorization} \\`);
     console.log(`    -d '{"model":"assistant","stream":true,"messages":[{"role":"user","content":"Hello"}]}'`);
     console.log(`  curl http://${callerAddress}/v1/models ${authorization}`);
--- a/scripts/deployment/createDeploymentConfiguration.ts
+++ b/scripts/deployment/createDeploymentConfiguration.ts
@@ -2,7 +2,7 @@
 import type { EngineSpecification } from "./engineSpecification.ts";
 
 /** Options of {@link createDeploymentConfiguration}. */
-interface DeploymentParts {
+interface DeploymentConfigurationOptions {
     dataCentres: readonly string[];
     model: string;
     modelLayers: number;
@@ -20,7 +20,7 @@
  * Creates the configuration of a local deployment: one model, its engines, and document services with and without
  * idempotent requests.
  */
-export function createDeploymentConfiguration(parts: DeploymentParts): Record<string, unknown> {
+export function createDeploymentConfiguration(parts: DeploymentConfigurationOptions): Record<string, unknown> {
     const { dataCentres, model, modelLayers, documents, keys, limits, claims } = parts;
     const documentNames = documents.map(document => document.name);
     return {
@@ -45,7 +45,7 @@
     };
 }
 
-function createEndpoints(parts: DeploymentParts): Record<string, object> {
+function createEndpoints(parts: DeploymentConfigurationOptions): Record<string, object> {
     const { dataCentres, model, engines, documents, maximumSequences } = parts;
     const endpoints: Record<string, object> = {};
     for (const { name, address, dataCentre, accelerator, layers, checksFencing } of engines) {
--- a/scripts/deployment/createNodeSettings.ts
+++ b/scripts/deployment/createNodeSettings.ts
@@ -1,5 +1,5 @@
 /** Options of {@link createNodeSettings}; addresses are `host:port`. */
-interface NodeSettingsParts {
+interface NodeSettingsOptions {
     name: string;
     dataCentre: string;
     callerAddress: string;
@@ -21,7 +21,7 @@
  * Creates the content of a node's settings file.
  * @param parts - Addresses and options of the node.
  */
-export function createNodeSettings(parts: NodeSettingsParts): object {
+export function createNodeSettings(parts: NodeSettingsOptions): object {
     const { otlpAddress, platformAddress } = parts;
     return {
         vm: parts.name,
--- a/scripts/soak/faultLoop.ts
+++ b/scripts/soak/faultLoop.ts
@@ -16,8 +16,8 @@
 }
 
 const pairShare = 0.4;
-const quietMilliseconds = [200, 1_500] as const;
-const longestStaggerMilliseconds = 800;
+const pauseRangeMilliseconds = [200, 1_500] as const;
+const maximumStaggerMilliseconds = 800;
 
 /** Injects seeded faults, one or two at a time, and reverts each after its duration. */
 export class FaultLoop<Context extends { random: SeededRandom; timeline: FaultTimeline; }> {
@@ -42,13 +42,13 @@
     private async run(): Promise<void> {
         const { context: { random }, maximumFaults = Infinity } = this.options;
         while (!this.isStopped && this.count < maximumFaults) {
-            await sleep(random.chooseInteger(...quietMilliseconds));
+            await sleep(random.chooseInteger(...pauseRangeMilliseconds));
             const isPair = random.isHit(pairShare);
-            const shown = [this.show(0)];
+            const active = [this.injectOne(0)];
             if (isPair) {
-                shown.push(this.show(random.chooseInteger(0, longestStaggerMilliseconds)));
+                active.push(this.injectOne(random.chooseInteger(0, maximumStaggerMilliseconds)));
             }
-            await Promise.all(shown);
+            await Promise.all(active);
         }
     }
 
@@ -66,12 +66,12 @@
         clearTimeout(timer);
     }
 
-    private async show(delayMilliseconds: number): Promise<void> {
+    private async injectOne(delayMilliseconds: number): Promise<void> {
         const { context, allKinds, print } = this.options;
         const { random, timeline } = context;
         const kind = random.choose(this.kinds)!;
         const { holdMilliseconds, prepare } = allKinds[kind]!;
-        const hold = random.chooseInteger(...holdMilliseconds);
+        const durationMilliseconds = random.chooseInteger(...holdMilliseconds);
         this.count += 1;
         await sleep(delayMilliseconds);
         const fault = prepare(context);
@@ -79,9 +79,9 @@
             return;
         }
         const entry = timeline.start(kind, fault.target);
-        print(`${kind} at ${fault.target} for ${hold} ms`);
+        print(`${kind} at ${fault.target} for ${durationMilliseconds} ms`);
         await fault.show();
-        await sleep(hold);
+        await sleep(durationMilliseconds);
         await fault.undo();
         timeline.end(entry);
     }
--- a/scripts/soak/faultTimeline.ts
+++ b/scripts/soak/faultTimeline.ts
@@ -52,10 +52,10 @@
 
     /** Describes the faults that overlap a time span in one line. */
     describe(from: number, to: number): string {
-        const shown = this.getDuring(from, to).map(({ kind, target, from: since, to: until }) => {
+        const descriptions = this.getDuring(from, to).map(({ kind, target, from: since, to: until }) => {
             const end = until === Infinity ? "" : String(until - from);
             return `${kind} ${target} [${since - from}..${end}]`;
         });
-        return shown.length === 0 ? "none" : shown.join(", ");
+        return descriptions.length === 0 ? "none" : descriptions.join(", ");
     }
 }
--- a/scripts/soak/faults/createStandinFaultKinds.ts
+++ b/scripts/soak/faults/createStandinFaultKinds.ts
@@ -4,18 +4,28 @@
 import type { FaultKind } from "../faultKind.ts";
 
 /** Injects or reverts a fault of a stand-in. */
-type Act = (context: FaultContext, standin: DeployedStandin) => Promise<void> | void;
+type FaultAction = (context: FaultContext, standin: DeployedStandin) => Promise<void> | void;
 /** Minimum and maximum duration of a fault, in milliseconds. */
-type Span = readonly [number, number];
+type DurationRange = readonly [number, number];
 
 /** Creates kinds of faults for one type of stand-in. */
 interface StandinFaultKinds {
     /** A fault that functions inject and revert. */
-    ofActs(weight: number, holdMilliseconds: Span, show: Act, undo: Act): FaultKind<FaultContext>;
+    ofActs(
+        weight: number,
+        holdMilliseconds: DurationRange,
+        show: FaultAction,
+        undo: FaultAction,
+    ): FaultKind<FaultContext>;
     /** A fault that the stand-in simulates itself, controlled by its fault settings. */
-    ofSettings(weight: number, holdMilliseconds: Span, faults: object, undone: object): FaultKind<FaultContext>;
+    ofSettings(
+        weight: number,
+        holdMilliseconds: DurationRange,
+        faults: object,
+        undone: object,
+    ): FaultKind<FaultContext>;
     /** A fault that suspends the process with SIGSTOP. */
-    ofFreeze(weight: number, holdMilliseconds: Span): FaultKind<FaultContext>;
+    ofFreeze(weight: number, holdMilliseconds: DurationRange): FaultKind<FaultContext>;
 }
 
 /**
@@ -35,8 +45,9 @@
             undo,
             release: ({ taken }, { name }) => taken.delete(name),
         });
-    const createSetting = (faults: object): Act => ({ deployment }, standin) => deployment.setFaults(standin, faults);
-    const createSignal = (signal: NodeJS.Signals): Act => (_context, { process }) => process.signal(signal);
+    const createSetting = (faults: object): FaultAction => ({ deployment }, standin) =>
+        deployment.setFaults(standin, faults);
+    const createSignal = (signal: NodeJS.Signals): FaultAction => (_context, { process }) => process.signal(signal);
     return {
         ofActs,
         ofSettings: (weight, holdMilliseconds, faults, undone) =>
--- a/scripts/soak/faults/nodeFaultKinds.ts
+++ b/scripts/soak/faults/nodeFaultKinds.ts
@@ -4,7 +4,7 @@
 import type { FleetNode } from "../nodeFleet.ts";
 
 /** Injects or reverts a fault of a node. */
-type Act = (context: FaultContext, node: FleetNode) => Promise<void> | void;
+type FaultAction = (context: FaultContext, node: FleetNode) => Promise<void> | void;
 
 /** Faults of nodes, and the graceful stop as in a rolling restart. */
 export const nodeFaultKinds: Readonly<Record<string, FaultKind<FaultContext>>> = {
@@ -29,8 +29,8 @@
 function createKind(
     weight: number,
     holdMilliseconds: readonly [number, number],
-    show: Act,
-    undo: Act,
+    show: FaultAction,
+    undo: FaultAction,
 ): FaultKind<FaultContext> {
     return createFaultKind({
         weight,
--- a/scripts/soak/keyCheck.ts
+++ b/scripts/soak/keyCheck.ts
@@ -19,7 +19,7 @@
 const undecidedCode = "claim_undecided";
 
 /**
- * Checks all idempotency keys at the end: none was executed twice, and none was executed after it was refused as not run.
+ * Checks all idempotency keys at the end: none was executed twice, and none that was refused as not run was executed.
  * @param deployment - Its document services record the executions.
  * @param records - All attempts.
  * @param violations - Receives the violations.
@@ -31,44 +31,44 @@
 ): Promise<KeyCounts> {
     const executions = await readExecutions(deployment);
     const counts: KeyCounts = { keys: 0, executed: 0, notRun: 0, executedWithoutAnswer: 0 };
-    for (const [key, sendings] of groupByKey(records)) {
-        const isDocument = sendings[0]!.plan.kind === "document";
-        const executed = isDocument ? executions.get(key) ?? 0 : countRuns(sendings);
-        const isAnswered = sendings.some(({ outcome }) => outcome === "finished");
+    for (const [key, attempts] of groupByKey(records)) {
+        const isDocument = attempts[0]!.plan.kind === "document";
+        const executed = isDocument ? executions.get(key) ?? 0 : countRuns(attempts);
+        const isAnswered = attempts.some(({ outcome }) => outcome === "finished");
         counts.keys += 1;
         counts.executed += executed > 0 ? 1 : 0;
-        counts.notRun += sendings.every(({ outcome }) => outcome === "notRun") ? 1 : 0;
+        counts.notRun += attempts.every(({ outcome }) => outcome === "notRun") ? 1 : 0;
         counts.executedWithoutAnswer += executed > 0 && !isAnswered ? 1 : 0;
-        checkKey(key, sendings, executed, violations);
+        checkKey(key, attempts, executed, violations);
     }
     return counts;
 }
 
-function checkKey(key: string, sendings: readonly SendRecord[], executed: number, violations: Violations): void {
-    const from = Math.min(...sendings.map(({ sentAt }) => sentAt));
-    const to = Math.max(...sendings.map(({ endedAt }) => endedAt));
+function checkKey(key: string, attempts: readonly SendRecord[], executed: number, violations: Violations): void {
+    const from = Math.min(...attempts.map(({ sentAt }) => sentAt));
+    const to = Math.max(...attempts.map(({ endedAt }) => endedAt));
     const add = (kind: string, text: string) => {
-        violations.add({ kind, message: `Key ${key}: ${text}. ${describe(sendings)}`, from, to });
+        violations.add({ kind, message: `Key ${key}: ${text}. ${describeAttempts(attempts)}`, from, to });
     };
     if (executed > 1) {
         add("executedTwice", `${executed} executions`);
     }
-    if (executed === 0 && sendings.some(({ outcome, plan }) => outcome === "finished" && plan.kind === "document")) {
+    if (executed === 0 && attempts.some(({ outcome, plan }) => outcome === "finished" && plan.kind === "document")) {
         add("answeredWithoutExecution", "complete response without an execution");
     }
-    if (executed > 0 && sendings.every(({ outcome }) => outcome === "notRun" || outcome === "notConnected")) {
+    if (executed > 0 && attempts.every(({ outcome }) => outcome === "notRun" || outcome === "notConnected")) {
         add("notRunButExecuted", "refused as not run, but executed");
     }
-    if (sendings.some(({ outcome, errorCode }) => (outcome === "undecided") !== (errorCode === undecidedCode))) {
+    if (attempts.some(({ outcome, errorCode }) => (outcome === "undecided") !== (errorCode === undecidedCode))) {
         add("undecidedMisused", "the outcome 'undecided' and its error code do not match");
     }
-    if (sendings.some(({ outcome, errorCode }) => errorCode === claimRefusalCode && outcome !== "notRun")) {
+    if (attempts.some(({ outcome, errorCode }) => errorCode === claimRefusalCode && outcome !== "notRun")) {
         add("refusalMisused", "a refused claim does not have the outcome 'notRun'");
     }
-    // A refused claim applies to the key: it must not report a key as not run that an earlier attempt has executed.
-    for (const refused of sendings.filter(({ errorCode }) => errorCode === claimRefusalCode)) {
-        const earlier = sendings.find(other => other.outcome === "finished" && other.endedAt < refused.sentAt);
-        const isOnlyEarlier = sendings.every(other => other.endedAt <= refused.endedAt || other.outcome === "notRun");
+    // A refused claim applies to the key: it must not state that the key has not run if an earlier attempt was executed.
+    for (const refused of attempts.filter(({ errorCode }) => errorCode === claimRefusalCode)) {
+        const earlier = attempts.find(other => other.outcome === "finished" && other.endedAt < refused.sentAt);
+        const isOnlyEarlier = attempts.every(other => other.endedAt <= refused.endedAt || other.outcome === "notRun");
         if (earlier !== undefined || (executed > 0 && isOnlyEarlier)) {
             add("notRunAfterRun", "the claim of a retry was refused as not run, but the key was executed before");
             return;
@@ -77,8 +77,8 @@
 }
 
 /** Counts the chat responses that were generated and not replayed. */
-function countRuns(sendings: readonly SendRecord[]): number {
-    return sendings.filter(({ outcome, isReplayed }) => outcome === "finished" && !isReplayed).length;
+function countRuns(attempts: readonly SendRecord[]): number {
+    return attempts.filter(({ outcome, isReplayed }) => outcome === "finished" && !isReplayed).length;
 }
 
 function groupByKey(records: readonly SendRecord[]): Map<string, SendRecord[]> {
@@ -102,11 +102,11 @@
     return executions;
 }
 
-function describe(sendings: readonly SendRecord[]): string {
-    const first = sendings[0]!.sentAt;
-    const parts = sendings.map(({ node, outcome, errorCode, sentAt, endedAt, isReplayed }) => {
+function describeAttempts(attempts: readonly SendRecord[]): string {
+    const first = attempts[0]!.sentAt;
+    const parts = attempts.map(({ node, outcome, errorCode, sentAt, endedAt, isReplayed }) => {
         const end = `${outcome}${errorCode === "" ? "" : ` ${errorCode}`}${isReplayed ? " replayed" : ""}`;
         return `${node} [${sentAt - first}..${endedAt - first}] ${end}`;
     });
-    return `${sendings[0]!.plan.service}: ${parts.join("; ")}`;
+    return `${attempts[0]!.plan.service}: ${parts.join("; ")}`;
 }
--- a/scripts/soak/leavingCheck.ts
+++ b/scripts/soak/leavingCheck.ts
@@ -10,7 +10,7 @@
 }
 
 /** A period in which an engine was leaving. */
-interface LeavingSpan {
+interface LeavingPeriod {
     engine: string;
     /** host:port of the engine. */
     address: string;
@@ -35,7 +35,7 @@
  * @returns False if other faults left no time to check.
  */
 export async function checkLeaving(
-    span: LeavingSpan,
+    span: LeavingPeriod,
     timeline: FaultTimeline,
     violations: Violations,
 ): Promise<boolean> {
--- a/scripts/soak/logTail.ts
+++ b/scripts/soak/logTail.ts
@@ -8,7 +8,7 @@
 const maximumLines = 200_000;
 const maximumShown = 30;
 /** Maximum of lines per process and event number. */
-const maximumShownOfKind = 3;
+const maximumShownPerKind = 3;
 const eventPattern = /FL\d{4}/;
 
 /** The most recent output of the processes, with wall-clock times in milliseconds. */
@@ -46,7 +46,7 @@
             const kind = `${name} ${eventPattern.exec(line)?.[0] ?? ""}`;
             const count = (counts.get(kind) ?? 0) + 1;
             counts.set(kind, count);
-            if (count <= maximumShownOfKind) {
+            if (count <= maximumShownPerKind) {
                 found.push(`${new Date(at).toISOString().slice(11, 23)} ${name}: ${shorten(line)}`);
             }
         }
--- a/scripts/soak/nodeFleet.ts
+++ b/scripts/soak/nodeFleet.ts
@@ -18,8 +18,8 @@
     hasEnded: boolean;
 }
 
-const readinessMilliseconds = 200;
-const checkTimeoutMilliseconds = 400;
+const healthCheckIntervalMilliseconds = 200;
+const healthCheckTimeoutMilliseconds = 400;
 /** Consecutive failed health checks after which the load balancer removes a node from the rotation. */
 const maximumFailures = 2;
 
@@ -44,7 +44,7 @@
         for (const node of deployment.nodes) {
             fleet.add(node, true);
         }
-        fleet.timer = setInterval(() => fleet.checkReadiness(), readinessMilliseconds);
+        fleet.timer = setInterval(() => fleet.checkReadiness(), healthCheckIntervalMilliseconds);
         return fleet;
     }
 
@@ -72,7 +72,7 @@
         return chosen;
     }
 
-    /** Starts one more node. */
+    /** Starts an additional node. */
     async start(): Promise<void> {
         const fault = this.timeline.start("nodeStart", "node");
         const node = await this.deployment.startNode();
@@ -135,7 +135,7 @@
     private checkReadiness(): void {
         for (const fleetNode of this.getLive()) {
             const { adminAddress } = fleetNode.node;
-            void fetchText(`http://${adminAddress}/readyz`, checkTimeoutMilliseconds).then(answer => {
+            void fetchText(`http://${adminAddress}/readyz`, healthCheckTimeoutMilliseconds).then(answer => {
                 const failures = answer?.status === 200 ? 0 : (this.failures.get(fleetNode) ?? 0) + 1;
                 this.failures.set(fleetNode, failures);
                 fleetNode.isInRotation = failures === 0 || (fleetNode.isInRotation && failures < maximumFailures);
--- a/scripts/soak/nodeWatch.ts
+++ b/scripts/soak/nodeWatch.ts
@@ -19,10 +19,10 @@
     invariantFailures: number;
 }
 
-const pollMilliseconds = 200;
+const pollIntervalMilliseconds = 200;
 const pollTimeoutMilliseconds = 1_000;
 /** Time within which an accepted version must be in force; the margin covers the polling interval. */
-const inForceMilliseconds = 3_000;
+const inForceLimitMilliseconds = 3_000;
 const marginMilliseconds = 500;
 /** Faults that make the store or the peers unreachable. */
 const platformFaults = ["platformDown", "platformHang", "platformDelay"];
@@ -44,7 +44,7 @@
         this.fleet = fleet;
         this.timeline = timeline;
         this.violations = violations;
-        this.timer = setInterval(() => this.poll(), pollMilliseconds);
+        this.timer = setInterval(() => this.poll(), pollIntervalMilliseconds);
     }
 
     /** Creates a watch and starts polling. */
@@ -60,7 +60,7 @@
             this.violations.addNow("versionTwice", message);
         }
         this.accepted.push({ version, at });
-        setTimeout(() => this.checkInForce(version, at), inForceMilliseconds + marginMilliseconds).unref();
+        setTimeout(() => this.checkInForce(version, at), inForceLimitMilliseconds + marginMilliseconds).unref();
     }
 
     /** Gets the highest version that a node has reported or that was accepted. */
@@ -81,7 +81,7 @@
             const version = this.readings.get(fleetNode)?.version ?? 0;
             if (version !== highest) {
                 const message = `Node ${fleetNode.node.name} has version ${version} at the end instead of ${highest}.`;
-                this.violations.add({ kind: "versionAtEnd", message, from: now - inForceMilliseconds, to: now });
+                this.violations.add({ kind: "versionAtEnd", message, from: now - inForceLimitMilliseconds, to: now });
             }
         }
     }
@@ -109,11 +109,11 @@
         }
         const reading = this.readings.get(fleetNode) ?? { version: 0, firstSeen: new Map(), invariantFailures: 0 };
         this.readings.set(fleetNode, reading);
-        this.takeVersion(fleetNode, reading, NodeStatus.schema.parse(JSON.parse(status.text)).configurationVersion);
-        this.takeInvariantFailures(fleetNode, reading, sumCounter(metrics.text, "foxlead_invariant_failures_total"));
+        this.checkVersion(fleetNode, reading, NodeStatus.schema.parse(JSON.parse(status.text)).configurationVersion);
+        this.checkInvariantFailures(fleetNode, reading, sumCounter(metrics.text, "foxlead_invariant_failures_total"));
     }
 
-    private takeVersion(fleetNode: FleetNode, reading: NodeReading, version: number): void {
+    private checkVersion(fleetNode: FleetNode, reading: NodeReading, version: number): void {
         const now = Date.now();
         if (version < reading.version) {
             const message = `Node ${fleetNode.node.name} reverted from version ${reading.version} to ${version}.`;
@@ -126,7 +126,7 @@
         this.highestSeen = Math.max(this.highestSeen, version);
     }
 
-    private takeInvariantFailures(fleetNode: FleetNode, reading: NodeReading, failures: number): void {
+    private checkInvariantFailures(fleetNode: FleetNode, reading: NodeReading, failures: number): void {
         if (failures > reading.invariantFailures) {
             const now = Date.now();
             const message = `Node ${fleetNode.node.name} reports ${failures} failed invariants.`;
@@ -136,26 +136,26 @@
         reading.invariantFailures = failures;
     }
 
-    private checkInForce(version: number, at: number): void {
+    private checkInForce(version: number, acceptedAt: number): void {
         const now = Date.now();
-        if (this.timeline.hasDuring(platformFaults, at - marginMilliseconds, now)) {
+        if (this.timeline.hasDuring(platformFaults, acceptedAt - marginMilliseconds, now)) {
             return;
         }
         for (const fleetNode of this.fleet.getLive()) {
             const { name } = fleetNode.node;
-            const isDisturbed = this.timeline.hasDuring(nodeFaults, at - marginMilliseconds, now, name);
-            if (isDisturbed || fleetNode.startedAt > at - marginMilliseconds) {
+            const hasFault = this.timeline.hasDuring(nodeFaults, acceptedAt - marginMilliseconds, now, name);
+            if (hasFault || fleetNode.startedAt > acceptedAt - marginMilliseconds) {
                 continue;
             }
             this.checkedVersions += 1;
             const reading = this.readings.get(fleetNode);
             const seenAt = reading?.firstSeen.get(version) ?? Infinity;
-            if (seenAt - at > inForceMilliseconds + marginMilliseconds) {
-                const held = reading?.version ?? 0;
-                const message = `Node ${name} has version ${held} ${
-                    now - at
+            if (seenAt - acceptedAt > inForceLimitMilliseconds + marginMilliseconds) {
+                const currentVersion = reading?.version ?? 0;
+                const message = `Node ${name} has version ${currentVersion} ${
+                    now - acceptedAt
                 } ms after version ${version} was accepted.`;
-                this.violations.add({ kind: "versionNotInForce", message, from: at, to: now });
+                this.violations.add({ kind: "versionNotInForce", message, from: acceptedAt, to: now });
             }
         }
     }
--- a/scripts/soak/plannedCallers.ts
+++ b/scripts/soak/plannedCallers.ts
@@ -12,7 +12,7 @@
     fleet: NodeFleet;
     /** Used to create the plans. */
     random: SeededRandom;
-    /** Used to choose nodes. Separate because that order depends on timing, while the plans must depend on the seed alone. */
+    /** Used to choose nodes. Separate because retries depend on timing, while the plans must depend on the seed alone. */
     nodeRandom: SeededRandom;
     /** Called after each attempt. */
     onSent(record: SendRecord): void;
@@ -20,7 +20,7 @@
 
 /** Outcomes after which a caller with an idempotency key retries. */
 const unclearOutcomes: ReadonlySet<string> = new Set(["cut", "notConnected", "notRun", "running", "left"]);
-const maximumSends = 5;
+const maximumAttempts = 5;
 const millisecondsPerSecond = 1_000;
 
 /** Simulated callers that send planned requests; some retry, disconnect early or read slowly. */
@@ -39,31 +39,31 @@
     /** Plans and sends a request, including its retries; resolves after the last response. */
     send(number: number): Promise<void> {
         const plan = createRequestPlan(this.options.random, number);
-        return plan.idempotencyKey === undefined ? this.sendOnce(plan) : this.sendKeyed(plan);
+        return plan.idempotencyKey === undefined ? this.sendWithoutKey(plan) : this.sendWithKey(plan);
     }
 
-    private async sendOnce(plan: RequestPlan): Promise<void> {
-        await this.sendThrough(plan, true);
+    private async sendWithoutKey(plan: RequestPlan): Promise<void> {
+        await this.sendAttempt(plan, true);
     }
 
     /** Retries with the same idempotency key through another node until the outcome is clear. */
-    private async sendKeyed(plan: RequestPlan): Promise<void> {
-        const first = this.sendThrough(plan, true);
-        const doubled = plan.isDoubled ? this.sendThrough(plan, false) : undefined;
+    private async sendWithKey(plan: RequestPlan): Promise<void> {
+        const first = this.sendAttempt(plan, true);
+        const duplicate = plan.isDoubled ? this.sendAttempt(plan, false) : undefined;
         let last = await first;
-        await doubled;
-        for (let sends = 1; sends < maximumSends; sends += 1) {
+        await duplicate;
+        for (let attempts = 1; attempts < maximumAttempts; attempts += 1) {
             const isUnclear = unclearOutcomes.has(last.outcome);
-            const isPlanned = sends === 1 && plan.repeatAfterMilliseconds > 0;
+            const isPlanned = attempts === 1 && plan.repeatAfterMilliseconds > 0;
             if (!isUnclear && !isPlanned) {
                 return;
             }
             await sleep(plan.repeatAfterMilliseconds || millisecondsPerSecond);
-            last = await this.sendThrough(plan, false, last.node);
+            last = await this.sendAttempt(plan, false, last.node);
         }
     }
 
-    private async sendThrough(plan: RequestPlan, mayLeave: boolean, except?: string): Promise<SendRecord> {
+    private async sendAttempt(plan: RequestPlan, mayLeave: boolean, except?: string): Promise<SendRecord> {
         const { deployment, fleet, nodeRandom, onSent } = this.options;
         const { name, callerAddress } = fleet.choose(nodeRandom, except);
         const record = await sendPlanned({ deployment, plan, node: name, address: callerAddress, mayLeave });
--- a/scripts/soak/requestPlan.ts
+++ b/scripts/soak/requestPlan.ts
@@ -23,10 +23,10 @@
 
 /** Shares of the requests by service; the rest goes to `summaries`. */
 const shares = { assistant: 0.5, letters: 0.18, receipts: 0.22 };
-const doubledShare = 0.12;
-const repeatedShare = 0.25;
-const leavingShare = 0.04;
-const slowShare = 0.04;
+const sentTwiceShare = 0.12;
+const repeatShare = 0.25;
+const disconnectShare = 0.04;
+const slowReaderShare = 0.04;
 const streamedShare = 0.7;
 const words = ["explain", "the", "payslip", "of", "march", "ward", "notes", "draft", "letter", "tariff", "appeal"];
 
@@ -39,12 +39,12 @@
     const service = chooseService(random);
     const kind = service === "assistant" || service === "letters" ? "chat" : "document";
     const isKeyed = service === "letters" || service === "receipts";
-    const isDoubled = random.isHit(doubledShare);
-    const isRepeated = random.isHit(repeatedShare);
+    const isDoubled = random.isHit(sentTwiceShare);
+    const isRepeated = random.isHit(repeatShare);
     const repeatAfterMilliseconds = random.chooseInteger(50, 3_000);
-    const isLeaving = random.isHit(leavingShare);
+    const isLeaving = random.isHit(disconnectShare);
     const leaveAfterMilliseconds = random.chooseInteger(1, 150);
-    const isSlow = random.isHit(slowShare);
+    const isSlow = random.isHit(slowReaderShare);
     return {
         number,
         kind,
--- a/scripts/soak/router/callChecks.ts
+++ b/scripts/soak/router/callChecks.ts
@@ -40,8 +40,9 @@
 const limitWindowMilliseconds = 4_000;
 const maximumRequestsPerWindow = 1.5 * endpointLimitKind.requestsPerSecond * limitWindowMilliseconds / 1_000 + 5;
 const modelLayers = 8;
-/** Number of endpoints that a request may crash, and how many of its runs are tolerated afterwards. */
+/** Number of crashed endpoints after which a request must no longer be forwarded. */
 const maximumCrashes = 3;
+/** Forwardings of such a request that are tolerated. */
 const maximumRunsAfterCrashes = 3;
 
 /** Checks the invariants against the records of callers and endpoints. */
@@ -76,7 +77,7 @@
         if (record.leftAt === undefined && isOverdue && (!isComplete || status !== 200) && !this.hasNodeFault(record)) {
             this.add(
                 "held",
-                `A request of kind ${kind} durationMilliseconds ${durationMilliseconds} ms and ended with status ${status}.`,
+                `A request of kind ${kind} took ${durationMilliseconds} ms and ended with status ${status}.`,
                 record,
             );
         }
@@ -101,9 +102,9 @@
     }
 
     /** Describes the requests whose ids start with a prefix and that have no complete successful response. */
-    listFailed(name: string): string[] {
+    listFailed(idPrefix: string): string[] {
         const failed = [...this.records.values()].filter(({ id, status, isComplete }) =>
-            id.startsWith(name) && (status !== 200 || !isComplete)
+            id.startsWith(idPrefix) && (status !== 200 || !isComplete)
         );
         return failed.map(({ id, node, status, reason }) => `${id} at ${node}: ${status} ${reason}`);
     }
@@ -222,6 +223,7 @@
         }
     }
 
+    /** Checks that an endpoint receives no request after its drain period. */
     private checkDraining(run: Run, record: CallRecord): void {
         for (const endpoint of this.options.deployment.endpoints) {
             const since = endpoint.getLeavingSince(run.endpointId);
@@ -261,8 +263,8 @@
 
     /** Gets if no faults other than planned stops and reloads of nodes overlap the request. */
     private hasOnlyPlannedOperations({ sentAt, endedAt }: CallRecord): boolean {
-        const shown = this.options.timeline.getDuring(sentAt - settleMilliseconds, endedAt);
-        return shown.every(({ kind }) => plannedOperations.includes(kind));
+        const faults = this.options.timeline.getDuring(sentAt - settleMilliseconds, endedAt);
+        return faults.every(({ kind }) => plannedOperations.includes(kind));
     }
 
     private hasNodeFault({ node, sentAt, endedAt }: CallRecord): boolean {
@@ -270,8 +272,8 @@
     }
 
     private hasEndpointFault(endpointId: string, from: number, to: number): boolean {
-        const shown = this.options.timeline.getDuring(from, to);
-        return shown.some(({ kind, target }) => kind.startsWith("endpoint") && endpointId.startsWith(`${target}-`));
+        const faults = this.options.timeline.getDuring(from, to);
+        return faults.some(({ kind, target }) => kind.startsWith("endpoint") && endpointId.startsWith(`${target}-`));
     }
 
     /** Gets if a fault of the node or the store, whose kind starts with one of the prefixes, overlaps a time span. */
--- a/scripts/soak/router/routerDeployment.ts
+++ b/scripts/soak/router/routerDeployment.ts
@@ -27,7 +27,7 @@
 }
 
 const dataCentres = ["a", "b"];
-/** Memory for half of the model's layers and some requests, so that a chain needs two stageEndpoints. */
+/** Memory for half of the model's layers and some requests, so that a chain needs two stages. */
 const engineChanges = { kinds: [{ name: "big", mb: 5_000, pace: 1, read_x: 1 }] };
 const stageEndpoints = 4;
 const documentEndpoints = 3;
@@ -51,7 +51,7 @@
         this.processes = ProcessStarter.create(options);
     }
 
-    /** Starts all parts and waits until the nodes are ready and the stageEndpoints hold layers. */
+    /** Starts all parts and waits until the nodes are ready and the stages hold layers. */
     static async create(options: RouterDeploymentOptions): Promise<RouterDeployment> {
         const deployment = new RouterDeployment(options, await KeyValueStandin.create());
         deployment.configure();
@@ -68,7 +68,7 @@
         return this.version;
     }
 
-    /** Waits until all stageEndpoints hold layers. */
+    /** Waits until all stages hold layers. */
     async waitForLayers(): Promise<void> {
         while (this.endpoints.some(endpoint => endpoint.isStage() && !endpoint.hasLayers())) {
             await sleep(pollMilliseconds);
--- a/scripts/soak/router/routerFaultKinds.ts
+++ b/scripts/soak/router/routerFaultKinds.ts
@@ -11,7 +11,7 @@
 import type { SoakEndpoint } from "./soakEndpoint.ts";
 import type { SoakNode } from "./soakNode.ts";
 
-type Kind = FaultKind<RouterSoakContext>;
+type RouterFaultKind = FaultKind<RouterSoakContext>;
 /** Injects or reverts a fault of a target. */
 type FaultAction<Target> = (context: RouterSoakContext, target: Target) => Promise<void> | void;
 /** Minimum and maximum duration, in milliseconds. */
@@ -32,7 +32,7 @@
 const endpointFault = createTargetFault(({ endpoints }) => endpoints);
 
 /** Faults of nodes, the store, endpoints and the connections between them. */
-export const routerFaultKinds: Readonly<Record<string, Kind>> = {
+export const routerFaultKinds: Readonly<Record<string, RouterFaultKind>> = {
     nodeKill: nodeFault(3, minimalDuration, (context, node) => context.deployment.kill(node), restart),
     nodeStop: nodeFault(4, minimalDuration, (context, node) => context.deployment.terminate(node), restart),
     nodeStopAtStart: nodeFault(1, minimalDuration, stopAtStart, restart),
@@ -87,7 +87,7 @@
         holdMilliseconds: DurationRange,
         show: FaultAction<Target>,
         undo: FaultAction<Target>,
-    ): Kind =>
+    ): RouterFaultKind =>
         createFaultKind({
             weight,
             holdMilliseconds,
@@ -107,17 +107,17 @@
         });
 }
 
-function storeConnectionFault(weight: number, mode: ProxyMode): Kind {
+function storeConnectionFault(weight: number, mode: ProxyMode): RouterFaultKind {
     const set = (newMode: ProxyMode): FaultAction<SoakNode> => (_, { storeProxy }) => storeProxy.setMode(newMode);
     return nodeFault(weight, longDuration, set(mode), set(ProxyMode.Pass));
 }
 
-function endpointConnectionFault(weight: number, mode: ProxyMode): Kind {
+function endpointConnectionFault(weight: number, mode: ProxyMode): RouterFaultKind {
     const set = (newMode: ProxyMode): FaultAction<SoakEndpoint> => (_, { proxy }) => proxy.setMode(newMode);
     return endpointFault(weight, shortDuration, set(mode), set(ProxyMode.Pass));
 }
 
-function behaviourFault(weight: number, behaviour: EndpointBehaviour, hold = shortDuration): Kind {
+function behaviourFault(weight: number, behaviour: EndpointBehaviour, hold = shortDuration): RouterFaultKind {
     const set = (next: EndpointBehaviour): FaultAction<SoakEndpoint> => (_, endpoint) => endpoint.setBehaviour(next);
     return endpointFault(weight, hold, set(behaviour), set({}));
 }
@@ -139,7 +139,7 @@
     process.signal("SIGCONT");
 }
 
-function storeFault(weight: number, holdMilliseconds: DurationRange, faults: KeyValueFaults): Kind {
+function storeFault(weight: number, holdMilliseconds: DurationRange, faults: KeyValueFaults): RouterFaultKind {
     return createFaultKind({
         weight,
         holdMilliseconds,
@@ -155,7 +155,7 @@
     });
 }
 
-function deploymentFault(weight: number, show: (context: RouterSoakContext) => Promise<void> | void): Kind {
+function deploymentFault(weight: number, show: (context: RouterSoakContext) => Promise<void> | void): RouterFaultKind {
     return {
         weight,
         holdMilliseconds: minimalDuration,
--- a/scripts/soak/router/runRouterSoak.ts
+++ b/scripts/soak/router/runRouterSoak.ts
@@ -15,7 +15,7 @@
 import { routerFaultKinds } from "./routerFaultKinds.ts";
 import type { RouterSoakResult } from "./routerSoakReport.ts";
 
-/** Time after the recoveryLoad fault within which the system must recover. */
+/** Time after the last fault within which the system must recover. */
 const recoveryMilliseconds = 6_000;
 const recoveryRequests = 60;
 /** Prefix of the ids of the requests after recovery. */
@@ -98,7 +98,7 @@
     const failed = checks.listFailed(recoveryIdPrefix);
     if (failed.length > 0) {
         const shown = failed.slice(0, maximumShown).join("; ");
-        violations.addNow("notRecovered", `${failed.length} requests failed after the recoveryLoad fault: ${shown}`);
+        violations.addNow("notRecovered", `${failed.length} requests failed after the last fault: ${shown}`);
     }
 }
 
--- a/scripts/soak/runSoak.ts
+++ b/scripts/soak/runSoak.ts
@@ -30,7 +30,7 @@
     ...platformFaultKinds,
     ...nodeFaultKinds,
 };
-const quietEndMilliseconds = 4_000;
+const recoveryMilliseconds = 4_000;
 const millisecondsPerSecond = 1_000;
 
 /**
@@ -95,7 +95,7 @@
     const startedAt = Date.now();
     await faults.runBeside(load, options.milliseconds);
     const seconds = (Date.now() - startedAt) / millisecondsPerSecond;
-    await sleep(quietEndMilliseconds);
+    await sleep(recoveryMilliseconds);
     watch.checkEnd();
     const exitCodes = await stopAll(fleet, watch);
     const keys = await checkKeys(deployment, records, violations);
--- a/scripts/soak/sendPlanned.ts
+++ b/scripts/soak/sendPlanned.ts
@@ -6,7 +6,7 @@
 import type { SendRecord } from "./sendRecord.ts";
 
 /** One attempt of a planned request. */
-interface PlannedSending {
+interface PlannedAttempt {
     deployment: LocalDeployment;
     plan: RequestPlan;
     node: string;
@@ -17,10 +17,10 @@
 }
 
 /** The part of the record that the response determines. */
-type Told = Omit<SendRecord, "plan" | "node" | "sentAt" | "endedAt">;
+type AttemptResult = Omit<SendRecord, "plan" | "node" | "sentAt" | "endedAt">;
 
 /** Initial values, for an attempt without a response. */
-const noAnswer: Told = {
+const initialResult: AttemptResult = {
     outcome: "",
     errorCode: "",
     message: "",
@@ -36,29 +36,29 @@
  * Sends a planned request once and compares the response with the expected one.
  * An incorrect response gets the outcome `wrong`.
  */
-export async function sendPlanned(sending: PlannedSending): Promise<SendRecord> {
-    const { plan, node } = sending;
+export async function sendPlanned(attempt: PlannedAttempt): Promise<SendRecord> {
+    const { plan, node } = attempt;
     const sentAt = Date.now();
     const controller = new AbortController();
-    const isLeaving = sending.mayLeave && plan.leaveAfterMilliseconds > 0;
-    const timer = isLeaving ? setTimeout(() => controller.abort(), plan.leaveAfterMilliseconds) : undefined;
+    const disconnects = attempt.mayLeave && plan.leaveAfterMilliseconds > 0;
+    const timer = disconnects ? setTimeout(() => controller.abort(), plan.leaveAfterMilliseconds) : undefined;
     const send = plan.kind === "chat" ? sendPlannedChat : sendPlannedDocument;
-    let told: Told;
+    let result: AttemptResult;
     try {
-        told = await send(sending, controller.signal);
+        result = await send(attempt, controller.signal);
     }
     catch (error) {
-        told = describeFailure(error);
+        result = describeFailure(error);
     }
     clearTimeout(timer);
-    if (controller.signal.aborted && told.outcome === "cut") {
-        told.outcome = "left";
+    if (controller.signal.aborted && result.outcome === "cut") {
+        result.outcome = "left";
     }
-    return { plan, node, sentAt, endedAt: Date.now(), ...told };
+    return { plan, node, sentAt, endedAt: Date.now(), ...result };
 }
 
-async function sendPlannedChat(sending: PlannedSending, signal: AbortSignal): Promise<Told> {
-    const { plan, deployment, address } = sending;
+async function sendPlannedChat(attempt: PlannedAttempt, signal: AbortSignal): Promise<AttemptResult> {
+    const { plan, deployment, address } = attempt;
     const { service, prompt, maximumTokens, isStreamed, idempotencyKey, readDelayMilliseconds } = plan;
     const answer = await sendChat({
         address,
@@ -74,15 +74,23 @@
     const { modelLayers } = deployment;
     const expected = referenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
     const { outcome, errorCode, errorMessage, isReplayed, chain, longestGapMilliseconds } = answer;
-    const told = { ...noAnswer, outcome, errorCode, message: errorMessage, isReplayed, chain, longestGapMilliseconds };
-    const isRight = outcome === "finished" ? answer.text === expected : expected.startsWith(answer.text);
-    return isRight
-        ? told
-        : { ...told, outcome: "wrong", message: `received "${answer.text}" instead of "${expected}"` };
+    const result = {
+        ...initialResult,
+        outcome,
+        errorCode,
+        message: errorMessage,
+        isReplayed,
+        chain,
+        longestGapMilliseconds,
+    };
+    const isCorrect = outcome === "finished" ? answer.text === expected : expected.startsWith(answer.text);
+    return isCorrect
+        ? result
+        : { ...result, outcome: "wrong", message: `received "${answer.text}" instead of "${expected}"` };
 }
 
-async function sendPlannedDocument(sending: PlannedSending, signal: AbortSignal): Promise<Told> {
-    const { plan, deployment, address } = sending;
+async function sendPlannedDocument(attempt: PlannedAttempt, signal: AbortSignal): Promise<AttemptResult> {
+    const { plan, deployment, address } = attempt;
     const { service, idempotencyKey, number, prompt } = plan;
     const path = `/soak/${number}`;
     const answer = await sendDocument({
@@ -95,18 +103,18 @@
         signal,
     });
     const { outcome, errorCode, errorMessage, isReplayed, execution } = answer;
-    const told = { ...noAnswer, outcome, errorCode, message: errorMessage, isReplayed, execution };
+    const result = { ...initialResult, outcome, errorCode, message: errorMessage, isReplayed, execution };
     return outcome === "finished" && !answer.isRight
-        ? { ...told, outcome: "wrong", message: `unexpected status ${answer.status}, or response to another request` }
-        : told;
+        ? { ...result, outcome: "wrong", message: `unexpected status ${answer.status}, or response to another request` }
+        : result;
 }
 
-function describeFailure(error: unknown): Told {
+function describeFailure(error: unknown): AttemptResult {
     const { code, name, message } = error as { code?: string; name?: string; message?: string; };
     const causeCode = (error as { cause?: { code?: string; }; }).cause?.code;
     const isNotConnected = notConnectedCodes.has(code ?? "") || notConnectedCodes.has(causeCode ?? "");
     return {
-        ...noAnswer,
+        ...initialResult,
         outcome: isNotConnected ? "notConnected" : "cut",
         errorCode: code ?? name ?? "",
         message: `no response: ${message ?? ""}`,
--- a/scripts/soak/soakReport.ts
+++ b/scripts/soak/soakReport.ts
@@ -23,7 +23,7 @@
 
 /** Faults of engines after which a stage has to be replaced. */
 const engineFaults = ["engineKill", "engineFreeze", "engineSilentConnections", "engineResets", "engineFailures"];
-const highestGapMilliseconds = 120_000;
+const maximumGapMilliseconds = 120_000;
 const maximumFailuresShown = 15;
 
 /**
@@ -87,7 +87,7 @@
 }
 
 function createHistogram(): Histogram {
-    return build({ highestTrackableValue: highestGapMilliseconds, numberOfSignificantValueDigits: 3 });
+    return build({ highestTrackableValue: maximumGapMilliseconds, numberOfSignificantValueDigits: 3 });
 }
 
 function formatHistogram(histogram: Histogram): string {
--- a/scripts/soak/steadyLoad.ts
+++ b/scripts/soak/steadyLoad.ts
@@ -15,13 +15,13 @@
     send(number: number): Promise<void>;
 }
 
-const maximumInProgress = 250;
+const maximumInFlight = 250;
 const millisecondsPerSecond = 1_000;
 
 /** Starts requests at a steady mean rate, independent of their responses, up to a maximum in flight. */
 export class SteadyLoad {
     private readonly options: SteadyLoadOptions;
-    private readonly running = new Set<Promise<void>>();
+    private readonly inFlight = new Set<Promise<void>>();
     private count = 0;
     private isStopped = false;
 
@@ -44,12 +44,12 @@
         const { random, requestsPerSecond, maximumRequests = Infinity } = this.options;
         const meanMilliseconds = millisecondsPerSecond / requestsPerSecond;
         while (!this.isStopped && this.count < maximumRequests) {
-            if (this.running.size < maximumInProgress) {
-                this.begin();
+            if (this.inFlight.size < maximumInFlight) {
+                this.startRequest();
             }
             await sleep(random.chooseInteger(0, Math.round(2 * meanMilliseconds)));
         }
-        await Promise.all(this.running);
+        await Promise.all(this.inFlight);
     }
 
     /** Stops starting requests. */
@@ -57,9 +57,9 @@
         this.isStopped = true;
     }
 
-    private begin(): void {
+    private startRequest(): void {
         this.count += 1;
-        const running: Promise<void> = this.options.send(this.count).finally(() => this.running.delete(running));
-        this.running.add(running);
+        const running: Promise<void> = this.options.send(this.count).finally(() => this.inFlight.delete(running));
+        this.inFlight.add(running);
     }
 }
--- a/scripts/soak/takeStandin.ts
+++ b/scripts/soak/takeStandin.ts
@@ -6,7 +6,7 @@
  */
 export function takeEngine(context: FaultContext): DeployedStandin | undefined {
     const { deployment, taken, random } = context;
-    const candidates = deployment.engines.filter(({ name }) => !taken.has(name) && isCovered(context, name));
+    const candidates = deployment.engines.filter(({ name }) => !taken.has(name) && areLayersCovered(context, name));
     const chosen = random.choose(candidates);
     if (chosen !== undefined) {
         taken.add(chosen.name);
@@ -26,7 +26,7 @@
     return chosen;
 }
 
-function isCovered({ deployment, taken }: FaultContext, without: string): boolean {
+function areLayersCovered({ deployment, taken }: FaultContext, without: string): boolean {
     const covered = new Set<number>();
     for (const { name, layers } of deployment.getEngineSpecifications()) {
         if (taken.has(name) || name === without) {
--- a/scripts/soak/violations.ts
+++ b/scripts/soak/violations.ts
@@ -12,7 +12,7 @@
 }
 
 /** A violation with the time span and the processes that it concerns. */
-interface ViolationSpan {
+interface ViolationOptions {
     kind: string;
     message: string;
     /** Wall-clock times in milliseconds. */
@@ -22,9 +22,9 @@
     names?: readonly string[];
 }
 
-const marginMilliseconds = 1_500;
+const logMarginMilliseconds = 1_500;
 /** Violations of each kind that are printed and reported with log lines. */
-const maximumShownOfKind = 5;
+const maximumShownPerKind = 5;
 
 /** Collects the violations of a soak test. */
 export class Violations {
@@ -45,8 +45,8 @@
     }
 
     /** Adds a violation with the faults and log lines of its time span. */
-    add({ kind, message, from, to, names = ["node-"] }: ViolationSpan): void {
-        const isShown = this.found.filter(other => other.kind === kind).length < maximumShownOfKind;
+    add({ kind, message, from, to, names = ["node-"] }: ViolationOptions): void {
+        const isShown = this.found.filter(other => other.kind === kind).length < maximumShownPerKind;
         if (isShown) {
             this.print(`VIOLATION ${kind}: ${message}`);
         }
@@ -54,7 +54,7 @@
             kind,
             message,
             faults: this.timeline.describe(from, to),
-            lines: isShown ? this.log.getAround(names, from - marginMilliseconds, to + marginMilliseconds) : [],
+            lines: isShown ? this.log.getAround(names, from - logMarginMilliseconds, to + logMarginMilliseconds) : [],
         });
     }
 
