--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -19,7 +19,10 @@
 const codeCache = `${folder}/foxlead.cache`;
 const seaConfiguration = `${folder}/sea.json`;
 const seaBlob = `${folder}/sea.blob`;
-/** Marker in the Node.js binary that the injection of the blob modifies. See "Single executable applications" in the Node.js documentation. */
+/**
+ * Marker in the Node.js binary, whose last digit the injection of the blob changes. See "Single executable applications" in
+ * the Node.js documentation.
+ */
 const sentinelFuse = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 const executableMode = 0o755;
 /** A node has a share of one processor, on which garbage collection threads would compete with the main thread. */
--- a/scripts/runTests.ts
+++ b/scripts/runTests.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the tests. The tests that KNOWN-RED.txt lists run separately and may fail. A skipped test fails the run.
+ * Runs the tests. The tests that KNOWN-RED.txt lists run separately, and their failure doesn't fail the run. Skipped tests do.
  */
 import { existsSync, globSync, readFileSync } from "node:fs";
 import type { KnownRedTest } from "./testing/knownRedTest.ts";
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -2,7 +2,8 @@
  * Soak test with fault injection: runs real processes under a steady load, injects seeded faults and checks the invariants
  * from the outside. Prints a report and exits with 1 if an invariant was violated.
  *
- * Usage: npm run soak -- [--program node|platform] [--seed N] [--minutes M] [--requests R] [--faults F] [--kinds KIND,KIND] [--built]
+ * Usage: npm run soak -- [--program node|platform] [--seed N] [--minutes M] [--requests R] [--faults F]
+ *     [--kinds KIND,KIND] [--nodes N] [--rate R] [--built]
  */
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
--- a/scripts/soak/faults/createStandinFaultKinds.ts
+++ b/scripts/soak/faults/createStandinFaultKinds.ts
@@ -50,9 +50,9 @@
     const createSignal = (signal: NodeJS.Signals): FaultAction => (_context, { process }) => process.signal(signal);
     return {
         ofActs,
-        ofSettings: (weight, holdMilliseconds, faults, undone) =>
-            ofActs(weight, holdMilliseconds, createSetting(faults), createSetting(undone)),
-        ofFreeze: (weight, holdMilliseconds) =>
-            ofActs(weight, holdMilliseconds, createSignal("SIGSTOP"), createSignal("SIGCONT")),
+        ofSettings: (weight, durationMilliseconds, faults, undone) =>
+            ofActs(weight, durationMilliseconds, createSetting(faults), createSetting(undone)),
+        ofFreeze: (weight, durationMilliseconds) =>
+            ofActs(weight, durationMilliseconds, createSignal("SIGSTOP"), createSignal("SIGCONT")),
     };
 }
--- a/scripts/soak/faults/leavingFaultKinds.ts
+++ b/scripts/soak/faults/leavingFaultKinds.ts
@@ -13,7 +13,7 @@
 const settleMilliseconds = 2_600;
 const holdMilliseconds = [3_500, 6_000] as const;
 
-/** Engines that leave, signalled by the platform's list of machines or by the engine itself. */
+/** Engines that leave, signalled by the platform's list of VMs or by the engine itself. */
 export const leavingFaultKinds: Readonly<Record<string, FaultKind<FaultContext>>> = {
     engineLeavingByList: createKind(async ({ deployment }, { name, address }, isLeaving) => {
         await deployment.setVm(name, { state: isLeaving ? "leaving" : "live", role: "endpoint", address });
--- a/scripts/soak/router/callChecks.ts
+++ b/scripts/soak/router/callChecks.ts
@@ -20,7 +20,7 @@
 
 /** Statuses that guarantee that a request has not run and never will. */
 const notRunStatuses = [408, 421, 429, 503];
-/** Statuses that reject a request as invalid or unauthorized, which no request of the soak test is. */
+/** Statuses that reject a request as invalid or unauthorized; all requests of the soak test are valid. */
 const rejectionStatuses = [400, 401, 403, 404, 405, 413, 431];
 /** Maximum of attempts that the routes allow. */
 const maximumAttempts = 2;
--- a/scripts/soak/router/endpointLimitKind.ts
+++ b/scripts/soak/router/endpointLimitKind.ts
@@ -1,4 +1,4 @@
-/** The fault of an endpoint that limits the rate of requests from all nodes together. */
+/** The fault in which an endpoint limits the total rate of requests from all nodes. */
 export const endpointLimitKind = {
     name: "endpointLimits",
     requestsPerSecond: 0.5,
