--- a/scripts/deployment/createDeploymentConfiguration.ts
+++ b/scripts/deployment/createDeploymentConfiguration.ts
@@ -1,14 +1,14 @@
 import { createHash } from "node:crypto";
 import type { EngineSpecification } from "./engineSpecification.ts";
 
-/** What the configuration of a local deployment is made of. */
-interface DeploymentParts {
+/** Options of {@link createDeploymentConfiguration}. */
+interface DeploymentConfigurationOptions {
     dataCentres: readonly string[];
     model: string;
     modelLayers: number;
     engines: readonly (EngineSpecification & { address: string; })[];
     documents: readonly { name: string; address: string; }[];
-    /** Sequences that each endpoint serves at the same time. */
+    /** Maximum of concurrent sequences per engine. */
     maximumSequences: number;
     /** API keys of the customers. */
     keys: { families: string; clerks: string; };
@@ -17,10 +17,10 @@
 }
 
 /**
- * Creates the operators' text of a local deployment, as an object: one model, its engines, and document services whose
- * calls may and may not be repeated.
+ * Creates the configuration of a local deployment: one model, its engines, and document services with and without
+ * idempotent requests.
  */
-export function createDeploymentConfiguration(parts: DeploymentParts): Record<string, unknown> {
+export function createDeploymentConfiguration(parts: DeploymentConfigurationOptions): Record<string, unknown> {
     const { dataCentres, model, modelLayers, documents, keys, limits, claims } = parts;
     const documentNames = documents.map(document => document.name);
     return {
@@ -45,7 +45,7 @@
     };
 }
 
-function createEndpoints(parts: DeploymentParts): Record<string, object> {
+function createEndpoints(parts: DeploymentConfigurationOptions): Record<string, object> {
     const { dataCentres, model, engines, documents, maximumSequences } = parts;
     const endpoints: Record<string, object> = {};
     for (const { name, address, dataCentre, accelerator, layers, checksFencing } of engines) {
--- a/scripts/soak/faults/createStandinFaultKinds.ts
+++ b/scripts/soak/faults/createStandinFaultKinds.ts
@@ -3,24 +3,34 @@
 import type { FaultContext } from "../faultContext.ts";
 import type { FaultKind } from "../faultKind.ts";
 
-/** Does something to one stand-in. */
-type Act = (context: FaultContext, standin: DeployedStandin) => Promise<void> | void;
-/** Shortest and longest time that a fault is shown, in milliseconds. */
-type Span = readonly [number, number];
+/** Injects or reverts a fault of a stand-in. */
+type FaultAction = (context: FaultContext, standin: DeployedStandin) => Promise<void> | void;
+/** Minimum and maximum duration of a fault, in milliseconds. */
+type DurationRange = readonly [number, number];
 
-/** Kinds of faults of the stand-ins of one sort. */
+/** Creates kinds of faults for one type of stand-in. */
 interface StandinFaultKinds {
-    /** A fault that is shown and ended by functions. */
-    ofActs(weight: number, holdMilliseconds: Span, show: Act, undo: Act): FaultKind<FaultContext>;
-    /** A fault that the stand-in shows by itself, by its settings. */
-    ofSettings(weight: number, holdMilliseconds: Span, faults: object, undone: object): FaultKind<FaultContext>;
-    /** The process stands still. */
-    ofFreeze(weight: number, holdMilliseconds: Span): FaultKind<FaultContext>;
+    /** A fault that functions inject and revert. */
+    ofActs(
+        weight: number,
+        holdMilliseconds: DurationRange,
+        show: FaultAction,
+        undo: FaultAction,
+    ): FaultKind<FaultContext>;
+    /** A fault that the stand-in simulates itself, controlled by its fault settings. */
+    ofSettings(
+        weight: number,
+        holdMilliseconds: DurationRange,
+        faults: object,
+        undone: object,
+    ): FaultKind<FaultContext>;
+    /** A fault that suspends the process with SIGSTOP. */
+    ofFreeze(weight: number, holdMilliseconds: DurationRange): FaultKind<FaultContext>;
 }
 
 /**
- * Creates the kinds of faults of the stand-ins of one sort.
- * @param take - Chooses one to show a fault at; undefined where there is none now.
+ * Creates factories of kinds of faults for one type of stand-in.
+ * @param take - Reserves a stand-in for a fault; undefined if none is available.
  */
 export function createStandinFaultKinds(
     take: (context: FaultContext) => DeployedStandin | undefined,
@@ -35,13 +45,14 @@
             undo,
             release: ({ taken }, { name }) => taken.delete(name),
         });
-    const createSetting = (faults: object): Act => ({ deployment }, standin) => deployment.setFaults(standin, faults);
-    const createSignal = (signal: NodeJS.Signals): Act => (_context, { process }) => process.signal(signal);
+    const createSetting = (faults: object): FaultAction => ({ deployment }, standin) =>
+        deployment.setFaults(standin, faults);
+    const createSignal = (signal: NodeJS.Signals): FaultAction => (_context, { process }) => process.signal(signal);
     return {
         ofActs,
-        ofSettings: (weight, holdMilliseconds, faults, undone) =>
-            ofActs(weight, holdMilliseconds, createSetting(faults), createSetting(undone)),
-        ofFreeze: (weight, holdMilliseconds) =>
-            ofActs(weight, holdMilliseconds, createSignal("SIGSTOP"), createSignal("SIGCONT")),
+        ofSettings: (weight, durationMilliseconds, faults, undone) =>
+            ofActs(weight, durationMilliseconds, createSetting(faults), createSetting(undone)),
+        ofFreeze: (weight, durationMilliseconds) =>
+            ofActs(weight, durationMilliseconds, createSignal("SIGSTOP"), createSignal("SIGCONT")),
     };
 }
--- a/scripts/soak/steadyLoad.ts
+++ b/scripts/soak/steadyLoad.ts
@@ -3,25 +3,25 @@
 
 /** Options of a {@link SteadyLoad}. */
 interface SteadyLoadOptions {
-    /** Sets the pauses between requests. */
+    /** Used to choose the pauses between requests. */
     random: SeededRandom;
     requestsPerSecond: number;
-    /** Not limited where undefined. */
+    /** Unlimited if undefined. */
     maximumRequests?: number;
     /**
-     * Sends a request; the promise ends with its last answer.
+     * Sends a request; resolves after its last response.
      * @param number - Counted from 1.
      */
     send(number: number): Promise<void>;
 }
 
-const maximumInProgress = 250;
+const maximumInFlight = 250;
 const millisecondsPerSecond = 1_000;
 
-/** Begins requests at a steady rate, whatever becomes of them. */
+/** Starts requests at a steady mean rate, independent of their responses, up to a maximum in flight. */
 export class SteadyLoad {
     private readonly options: SteadyLoadOptions;
-    private readonly running = new Set<Promise<void>>();
+    private readonly inFlight = new Set<Promise<void>>();
     private count = 0;
     private isStopped = false;
 
@@ -29,37 +29,37 @@
         this.options = options;
     }
 
-    /** Creates a load that sends nothing before {@link SteadyLoad.run}. */
+    /** Creates a load that is idle until {@link SteadyLoad.run} is called. */
     static create(options: SteadyLoadOptions): SteadyLoad {
         return new SteadyLoad(options);
     }
 
-    /** Gets the number of requests that were begun. */
+    /** Gets the number of started requests. */
     getCount(): number {
         return this.count;
     }
 
-    /** Sends until stopped or all requests are sent, and waits for the last answer. */
+    /** Sends requests until stopped or the maximum is reached; resolves after the last response. */
     async run(): Promise<void> {
         const { random, requestsPerSecond, maximumRequests = Infinity } = this.options;
         const meanMilliseconds = millisecondsPerSecond / requestsPerSecond;
         while (!this.isStopped && this.count < maximumRequests) {
-            if (this.running.size < maximumInProgress) {
-                this.begin();
+            if (this.inFlight.size < maximumInFlight) {
+                this.startRequest();
             }
             await sleep(random.chooseInteger(0, Math.round(2 * meanMilliseconds)));
         }
-        await Promise.all(this.running);
+        await Promise.all(this.inFlight);
     }
 
-    /** Begins no further request. */
+    /** Stops starting requests. */
     stop(): void {
         this.isStopped = true;
     }
 
-    private begin(): void {
+    private startRequest(): void {
         this.count += 1;
-        const running: Promise<void> = this.options.send(this.count).finally(() => this.running.delete(running));
-        this.running.add(running);
+        const running: Promise<void> = this.options.send(this.count).finally(() => this.inFlight.delete(running));
+        this.inFlight.add(running);
     }
 }
--- a/scripts/soak/violations.ts
+++ b/scripts/soak/violations.ts
@@ -1,32 +1,32 @@
 import type { FaultTimeline } from "./faultTimeline.ts";
 import type { LogTail } from "./logTail.ts";
 
-/** A broken promise. */
+/** A violated invariant. */
 export interface Violation {
     kind: string;
     message: string;
-    /** Faults that were shown, with their times from the violation's start in milliseconds. */
+    /** Faults during the violation, with their times relative to its start in milliseconds. */
     faults: string;
-    /** Log lines of the nodes around it. */
+    /** Log lines around the violation. */
     lines: readonly string[];
 }
 
-/** Where a violation was seen. */
-interface ViolationSpan {
+/** A violation with the time span and the processes that it concerns. */
+interface ViolationOptions {
     kind: string;
     message: string;
     /** Wall-clock times in milliseconds. */
     from: number;
     to: number;
-    /** Names of the processes whose log is shown; all nodes where undefined. */
+    /** Prefixes of the names of the processes whose log lines are included; all nodes if undefined. */
     names?: readonly string[];
 }
 
-const marginMilliseconds = 1_500;
-/** Violations of one kind that are shown with their log. */
-const maximumShownOfKind = 5;
+const logMarginMilliseconds = 1_500;
+/** Violations of each kind that are printed and reported with log lines. */
+const maximumShownPerKind = 5;
 
-/** The broken promises that were seen from outside. */
+/** Collects the violations of a soak test. */
 export class Violations {
     private readonly timeline: FaultTimeline;
     private readonly log: LogTail;
@@ -44,9 +44,9 @@
         return new Violations(timeline, log, print);
     }
 
-    /** Adds a violation with what was going on then. */
-    add({ kind, message, from, to, names = ["node-"] }: ViolationSpan): void {
-        const isShown = this.found.filter(other => other.kind === kind).length < maximumShownOfKind;
+    /** Adds a violation with the faults and log lines of its time span. */
+    add({ kind, message, from, to, names = ["node-"] }: ViolationOptions): void {
+        const isShown = this.found.filter(other => other.kind === kind).length < maximumShownPerKind;
         if (isShown) {
             this.print(`VIOLATION ${kind}: ${message}`);
         }
@@ -54,11 +54,11 @@
             kind,
             message,
             faults: this.timeline.describe(from, to),
-            lines: isShown ? this.log.getAround(names, from - marginMilliseconds, to + marginMilliseconds) : [],
+            lines: isShown ? this.log.getAround(names, from - logMarginMilliseconds, to + logMarginMilliseconds) : [],
         });
     }
 
-    /** Adds a violation that is seen at this moment. */
+    /** Adds a violation that occurs now. */
     addNow(kind: string, message: string, names?: readonly string[]): void {
         const now = Date.now();
         this.add({ kind, message, from: now, to: now, names });
