--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,6 +1,8 @@
 /**
- * Measures what each role costs, at several sizes, and works out the totals at the letter's size: `npm run
- * bench:capacity`. `--json` prints everything as JSON; names of parts after it run only those.
+ * Measures the cost of each role at several sizes and extrapolates the totals to the design size.
+ *
+ * Usage: `npm run bench:capacity -- [--json] [PART...]`. `--json` prints everything as JSON. If parts are named, only
+ * those run and no totals are computed.
  */
 import { cpus, loadavg } from "node:os";
 import { computeTotals } from "./capacity/computeTotals.ts";
@@ -23,7 +25,7 @@
 process.chdir(new URL("..", import.meta.url).pathname);
 const measurements: Measurements = { slopes: [] };
 const parts: Record<string, () => Promise<void>> = {
-    // First, as it measures connections by the growth of this process.
+    // Runs first, since it measures the memory of connections by the growth of this process.
     peers: async () => {
         const { slopes, figures } = await measurePeers();
         measurements.slopes.push(...slopes);
@@ -50,18 +52,24 @@
         measurements.idleNodes = await measureIdleNode();
     },
 };
-const chosen = process.argv.slice(2).filter(argument => !argument.startsWith("--"));
-const seconds: Record<string, number> = {};
+const selectedParts = process.argv.slice(2).filter(argument => !argument.startsWith("--"));
+const partSeconds: Record<string, number> = {};
 const loadBefore = loadavg()[0] ?? 0;
 for (const [name, measure] of Object.entries(parts)) {
-    if (chosen.length === 0 || chosen.includes(name)) {
+    if (selectedParts.length === 0 || selectedParts.includes(name)) {
         const startedAt = performance.now();
         await measure();
-        seconds[name] = Math.round((performance.now() - startedAt) / 100) / 10;
+        partSeconds[name] = Math.round((performance.now() - startedAt) / 100) / 10;
     }
 }
-const machine = { cores: cpus().length, loadBefore, loadAfter: loadavg()[0] ?? 0, node: process.version, seconds };
-const totals = chosen.length === 0 ? computeTotals(measurements) : [];
+const machine = {
+    cores: cpus().length,
+    loadBefore,
+    loadAfter: loadavg()[0] ?? 0,
+    node: process.version,
+    seconds: partSeconds,
+};
+const totals = selectedParts.length === 0 ? computeTotals(measurements) : [];
 if (process.argv.includes("--json")) {
     console.log(JSON.stringify({ machine, ...measurements, totals }, undefined, 2));
 }
--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -1,8 +1,8 @@
 /**
- * Measures three ways to keep a request from running twice: one store write a request, a map in memory, and the
- * claim log. Prints store writes a second, the latency that a claim adds, and the time of a takeover of a full ring.
- * The platform is the stand-in in this process, slowed down to 2 ms a call and limited to 500 writes and 2,000 reads
- * a second.
+ * Measures three ways to prevent a request from running twice: one store write per request, an in-memory map, and the
+ * claim log. Prints the store writes per second, the latency that a claim adds, and the duration of the takeover of a
+ * full ring. The platform is a stand-in in this process that delays each call by 2 ms and, except during the takeover,
+ * allows 500 writes and 2,000 reads per second.
  *
  * Run: node bench/claims.ts
  */
@@ -34,24 +34,24 @@
 const fillConcurrency = 64;
 const microsecondsPerMillisecond = 1_000;
 
-/** Claims one key; true where it was granted. */
-type ClaimOne = (claim: Claim) => Promise<boolean>;
+/** Claims one key and returns if the claim was granted. */
+type ClaimFunction = (claim: Claim) => Promise<boolean>;
 
 const generator = xoroshiro128plus(seed);
 const shardHash = await ShardHash.create();
-let serial = 0;
+let createdClaims = 0;
 
 function getRandom(): number {
     return (generator.next() >>> 0) / 2 ** 32;
 }
 
 function createClaim(issuedAt = Date.now()): Claim {
-    serial += 1;
+    createdClaims += 1;
     const random = Uint8Array.from({ length: 16 }, () => Math.floor(getRandom() * 256));
     return {
         key: createClaimKey("north", v7({ msecs: issuedAt, random })),
         bodyHash: Buffer.from(random).toString("hex").repeat(2),
-        claimant: `claimant-0123456789abcdef-${serial}`,
+        claimant: `claimant-0123456789abcdef-${createdClaims}`,
         nodeId: "node-10.0.0.1",
     };
 }
@@ -68,15 +68,16 @@
     });
 }
 
-/** One store write a request: the key itself is created. */
-function createWritePerRequest(store: PlatformStore): ClaimOne {
+/** Creates a claim function that creates the key in the store with one write per request. */
+function createWritePerRequest(store: PlatformStore): ClaimFunction {
     return async claim => {
         const outcome = await store.compareAndSwap(`foxlead/claimed/${claim.key}`, 0, JSON.stringify(claim));
         return outcome.ok && outcome.val.swapped;
     };
 }
 
-function createMemoryOnly(): ClaimOne {
+/** Creates a claim function that keeps the claimed keys in memory only. */
+function createMemoryOnly(): ClaimFunction {
     const claimants = new Map<string, string>();
     return claim => {
         const isFree = !claimants.has(claim.key);
@@ -87,33 +88,38 @@
     };
 }
 
-async function createClaimLog(store: PlatformStore): Promise<ClaimOne> {
+/** Creates a claim function that uses the claim log, and warms it up. */
+async function createClaimLog(store: PlatformStore): Promise<ClaimFunction> {
     const owner = createOwner(store);
-    const claimOne = async (claim: Claim): Promise<boolean> => {
+    const claimKey = async (claim: Claim): Promise<boolean> => {
         const shard = shardHash.getShardOfKey(claim.key, claimSettings.shards);
         const [verdict] = await owner.claim(shard, [claim]);
         return verdict?.outcome === ClaimOutcome.Granted;
     };
-    await Promise.all(Array.from({ length: 64 }, () => claimOne(createClaim())));
-    return claimOne;
+    await Promise.all(Array.from({ length: 64 }, () => claimKey(createClaim())));
+    return claimKey;
 }
 
-/** Offers claims at a rate, as independent arrivals; the latency counts from the time the claim was due. */
-async function offer(
-    claimOne: ClaimOne,
+/**
+ * Sends claims as a Poisson process. The latency of a claim is measured from the time it was due.
+ * @param claimKey - Claims one key.
+ * @param rate - Claims per second.
+ */
+async function sendClaims(
+    claimKey: ClaimFunction,
     rate: number,
-): Promise<{ latencies: Histogram; granted: number; all: number; }> {
+): Promise<{ latencies: Histogram; granted: number; sent: number; }> {
     const latencies = build({
         lowestDiscernibleValue: 1,
         highestTrackableValue: 60_000_000,
         numberOfSignificantValueDigits: 3,
     });
-    const running: Promise<void>[] = [];
+    const pending: Promise<void>[] = [];
     const startedAt = performance.now();
     let granted = 0;
     let dueAt = startedAt;
-    async function run(claimDueAt: number): Promise<void> {
-        if (await claimOne(createClaim())) {
+    async function runClaim(claimDueAt: number): Promise<void> {
+        if (await claimKey(createClaim())) {
             granted += 1;
             latencies.recordValue(
                 Math.max(1, Math.round((performance.now() - claimDueAt) * microsecondsPerMillisecond)),
@@ -121,49 +127,49 @@
         }
     }
     while (dueAt < startedAt + runMilliseconds) {
-        const wait = dueAt - performance.now();
-        if (wait > 0) {
-            await new Promise(resolve => setTimeout(resolve, wait));
+        const delayMilliseconds = dueAt - performance.now();
+        if (delayMilliseconds > 0) {
+            await new Promise(resolve => setTimeout(resolve, delayMilliseconds));
         }
-        running.push(run(dueAt));
+        pending.push(runClaim(dueAt));
         dueAt += -Math.log(1 - getRandom()) * 1_000 / rate;
     }
-    await Promise.all(running);
-    return { latencies, granted, all: running.length };
+    await Promise.all(pending);
+    return { latencies, granted, sent: pending.length };
 }
 
 async function measureRates(
     name: string,
-    createWay: (store: PlatformStore) => ClaimOne | Promise<ClaimOne>,
+    createClaimFunction: (store: PlatformStore) => ClaimFunction | Promise<ClaimFunction>,
 ): Promise<void> {
     for (const rate of claimRates) {
         const standin = await PlatformStandin.create({ port: 0, writesPerSecond, readsPerSecond });
         const store = EtcdStore.create({ address: standin.getAddress(), timeoutMilliseconds: 1_000 });
         standin.setFaults({ delayMilliseconds: storeDelayMilliseconds });
-        const claimOne = await createWay(store);
-        const before = standin.getCounts();
-        const { latencies, granted, all } = await offer(claimOne, rate);
-        const after = standin.getCounts();
+        const claimKey = await createClaimFunction(store);
+        const countsBefore = standin.getCounts();
+        const { latencies, granted, sent } = await sendClaims(claimKey, rate);
+        const countsAfter = standin.getCounts();
         const seconds = runMilliseconds / 1_000;
         const median = latencies.getValueAtPercentile(50) / microsecondsPerMillisecond;
-        const tail = latencies.getValueAtPercentile(99) / microsecondsPerMillisecond;
+        const percentile99 = latencies.getValueAtPercentile(99) / microsecondsPerMillisecond;
         console.log(
-            `| ${name} | ${rate} | ${((after.transaction - before.transaction) / seconds).toFixed(0)}`
-                + ` | ${median.toFixed(2)} | ${tail.toFixed(2)} | ${granted} of ${all} |`,
+            `| ${name} | ${rate} | ${((countsAfter.transaction - countsBefore.transaction) / seconds).toFixed(0)}`
+                + ` | ${median.toFixed(2)} | ${percentile99.toFixed(2)} | ${granted} of ${sent} |`,
         );
         await store.close();
         await standin.close();
     }
 }
 
-/** Gets the bytes of the objects that are still in use. */
+/** Collects garbage and gets the size of the heap in use, in bytes. */
 function getHeapBytes(): number {
     setFlagsFromString("--expose-gc");
     (runInNewContext("gc") as () => void)();
     return process.memoryUsage().heapUsed;
 }
 
-/** Fills every slot of one shard as an earlier owner would have. */
+/** Fills every slot of shard 0 with batches of a previous owner. */
 async function fillRing(store: PlatformStore, ringSize: number, claimsPerSlot: number): Promise<void> {
     const now = Date.now();
     let next = 0;
@@ -178,46 +184,51 @@
     await Promise.all(Array.from({ length: fillConcurrency }, fill));
 }
 
-/** Times the first verdict of an owner that has read nothing: a key that an earlier owner's claimant has. */
+/** Measures how long a new owner takes to load a shard whose ring a previous owner has filled. */
 async function measureTakeover(claimsPerSlot: number): Promise<void> {
     const standin = await PlatformStandin.create({ port: 0 });
     const store = EtcdStore.create({ address: standin.getAddress(), timeoutMilliseconds: 10_000 });
     const ringSize = getRingSize(claimSettings.windowMilliseconds, claimSettings.appendIntervalMilliseconds);
     await fillRing(store, ringSize, claimsPerSlot);
     standin.setFaults({ delayMilliseconds: storeDelayMilliseconds });
-    const before = standin.getCounts();
-    const memoryBefore = getHeapBytes();
+    const countsBefore = standin.getCounts();
+    const heapBytesBefore = getHeapBytes();
     const startedAt = performance.now();
     const owner = ClaimOwner.create({
         ...claimSettings,
         shards: 1,
         store,
         clock: systemClock,
-        log: { write: event => event.number === 1301 ? loaded() : undefined },
+        // 1301 is the number of the event that reports that a shard was loaded.
+        log: { write: event => event.number === 1301 ? onLoaded() : undefined },
         ownerId: "successor",
         getShardOfKey: () => 0,
         giveUpMilliseconds: 60_000,
     });
-    let loaded = (): void => undefined;
-    const isLoaded = new Promise<void>(resolve => loaded = resolve);
+    let onLoaded = (): void => undefined;
+    const loaded = new Promise<void>(resolve => onLoaded = resolve);
     owner.loadShard(0);
-    await isLoaded;
-    const took = performance.now() - startedAt;
-    const reads = standin.getCounts().range - before.range;
-    const megabytes = (getHeapBytes() - memoryBefore) / 2 ** 20;
-    console.log(`| ${ringSize} | ${claimsPerSlot} | ${took.toFixed(0)} | ${reads} | ${megabytes.toFixed(0)} |`);
+    await loaded;
+    const takeoverMilliseconds = performance.now() - startedAt;
+    const reads = standin.getCounts().range - countsBefore.range;
+    const heapMebibytes = (getHeapBytes() - heapBytesBefore) / 2 ** 20;
+    console.log(
+        `| ${ringSize} | ${claimsPerSlot} | ${takeoverMilliseconds.toFixed(0)} | ${reads} | ${
+            heapMebibytes.toFixed(0)
+        } |`,
+    );
     owner.close();
     await store.close();
     await standin.close();
 }
 
 console.log(
-    "| Way | Claims/s | Store writes/s | Median ms | 99th percentile ms | Granted |\n| --- | --- | --- | --- | --- | --- |",
+    "| Method | Claims/s | Store writes/s | Median ms | 99th percentile ms | Granted |\n| --- | --- | --- | --- | --- | --- |",
 );
-await measureRates("one write a request", createWritePerRequest);
+await measureRates("one write per request", createWritePerRequest);
 await measureRates("memory only", createMemoryOnly);
 await measureRates("claim log", createClaimLog);
-console.log("\n| Slots | Claims a slot | Takeover ms | Reads | Heap MiB |\n| --- | --- | --- | --- | --- |");
+console.log("\n| Slots | Claims per slot | Takeover ms | Reads | Heap MiB |\n| --- | --- | --- | --- | --- |");
 for (const claimsPerSlot of takeoverClaimsPerSlot) {
     await measureTakeover(claimsPerSlot);
 }
--- a/bench/configuration.ts
+++ b/bench/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how long an accepted configuration takes until it is in force on all nodes: from the moment when the store has
- * taken the swap to the moment when the last node shows the version. Nodes are separate processes.
+ * Measures how long an accepted configuration takes to become active on all nodes: the time from the store's response to
+ * the compare-and-swap until the last node reports the version. Each node is a separate process.
  */
 import { build } from "hdr-histogram-js";
 import { request } from "undici";
@@ -9,8 +9,8 @@
 import { systemClock } from "../src/process/systemClock.ts";
 import { applyConfiguration } from "../src/version/applyConfiguration.ts";
 
-/** Times until in force everywhere, in milliseconds. */
-interface InForceFigures {
+/** Times until a configuration is active on all nodes, in milliseconds. */
+interface ActivationTimes {
     nodes: number;
     changes: number;
     median: number;
@@ -22,13 +22,13 @@
 const pollMilliseconds = 5;
 
 process.chdir(new URL("..", import.meta.url).pathname);
-const figures: InForceFigures[] = [];
+const figures: ActivationTimes[] = [];
 for (const nodes of [3, 9, 24]) {
     figures.push(await measure(nodes));
 }
 console.table(figures);
 
-async function measure(nodes: number): Promise<InForceFigures> {
+async function measure(nodes: number): Promise<ActivationTimes> {
     const deployment = await LocalDeployment.create({ nodes, engines: [], documents: 0, isBuilt: false });
     const store = EtcdStore.create({ address: deployment.platform.address, timeoutMilliseconds: 2_000 });
     const histogram = build();
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -1,6 +1,7 @@
 /**
- * Measures what membership costs a node: gossip messages at several sizes without sockets, and the price of one call
- * over a real loopback connection. Prints bytes, messages and processor time a second and a node, and their slopes.
+ * Measures what membership costs a node: the gossip messages of simulated clusters of several sizes, and the cost of one
+ * call over a real loopback connection. Prints the messages, bytes and processor time per node and second, and how the
+ * bytes and the processor time grow with the number of members.
  *
  * Run: node bench/membership.ts
  */
@@ -12,30 +13,30 @@
 
 const sizes = [3, 9, 30, 100, 340];
 const fanOuts = [8, 3];
-const interval = 500;
-const roundsPerSecond = 1_000 / interval;
-/** Contacts that one measurement simulates at most, and rounds that it runs at least. */
-const contactLimit = 30_000;
-const leastRounds = 2;
+const intervalMilliseconds = 500;
+const roundsPerSecond = 1_000 / intervalMilliseconds;
+/** Most exchanges that one measurement simulates, unless its minimum number of rounds needs more. */
+const maximumContacts = 30_000;
+const minimumRounds = 2;
 const pullIntervalSeconds = 60;
-/** So many of the bench's endpoint records take about the default payload budget. */
+/** Number of endpoint records that take about the default payload budget of a gossip message. */
 const payloadRecords = 6;
 const trials = 3;
-const roundLimit = 500;
+const maximumRounds = 500;
 
-/** What one node spends in a second, averaged over the nodes. Both directions are counted. */
+/** Average cost per node and second. Sent and received messages are both counted. */
 interface Cost {
     size: number;
-    /** Bytes of the messages. */
+    /** Bytes of the messages, without the overhead of HTTP/2. */
     messageBytes: number;
     messages: number;
-    /** Processor milliseconds without the calls themselves. */
+    /** Processor time in milliseconds, without that of the HTTP/2 calls. */
     cpuMilliseconds: number;
 }
 
 function measureSteady(size: number, fanOut: number, records: number): Cost {
-    const fleet = SimulatedFleet.create(size, fanOut, interval, records, size + fanOut);
-    const rounds = Math.max(leastRounds, Math.min(100, Math.floor(contactLimit / size / Math.min(fanOut, size))));
+    const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, records, size + fanOut);
+    const rounds = Math.max(minimumRounds, Math.min(100, Math.floor(maximumContacts / size / Math.min(fanOut, size))));
     fleet.runRound();
     const bytesBefore = fleet.bytes;
     const messagesBefore = fleet.messages;
@@ -47,14 +48,14 @@
     const nodeSeconds = size * rounds / roundsPerSecond;
     return {
         size,
-        // Each message is sent by one node and received by another; both pay for it.
+        // Each message is counted at its sender and at its receiver.
         messageBytes: 2 * (fleet.bytes - bytesBefore) / nodeSeconds,
         messages: 2 * (fleet.messages - messagesBefore) / nodeSeconds,
         cpuMilliseconds: (user + system) / 1_000 / nodeSeconds,
     };
 }
 
-/** Least-squares slope through the points. */
+/** Gets the slope of the least-squares line through the points. */
 function getSlope(points: readonly { x: number; y: number; }[]): number {
     const meanX = points.reduce((sum, point) => sum + point.x, 0) / points.length;
     const meanY = points.reduce((sum, point) => sum + point.y, 0) / points.length;
@@ -62,13 +63,19 @@
     return covariance / points.reduce((sum, point) => sum + (point.x - meanX) ** 2, 0);
 }
 
-/** Prints the costs of one way; the calls' own bytes and processor time are added from the measured call. */
+/**
+ * Prints the costs of one gossip variant.
+ * @param title - Name of the variant.
+ * @param costs - Costs of the messages.
+ * @param callBytes - Overhead of one call over HTTP/2, in bytes.
+ * @param callMicroseconds - Processor time of one call at both ends together.
+ */
 function printSteady(title: string, costs: readonly Cost[], callBytes: number, callMicroseconds: number): void {
-    console.log(`\n${title}, a node and second: messages, bytes in them, bytes with HTTP/2, processor milliseconds`);
+    console.log(`\n${title}, per node and second: messages, message bytes, bytes with HTTP/2, processor milliseconds`);
     const totals = costs.map(cost => ({
         ...cost,
         wireBytes: cost.messageBytes + cost.messages / 2 * callBytes,
-        // A message's processor time at one end is a quarter of an exchange at both.
+        // An exchange has two messages, each with a sender and a receiver, so one end of one message takes a quarter.
         processor: cost.cpuMilliseconds + cost.messages / 4 * callMicroseconds / 1_000,
     }));
     for (const { size, messages, messageBytes, wireBytes, processor } of totals) {
@@ -78,82 +85,94 @@
     const large = totals.filter(({ size }) => size > 9);
     const bytesSlope = getSlope(large.map(({ size, wireBytes }) => ({ x: size, y: wireBytes })));
     const processorSlope = getSlope(large.map(({ size, processor }) => ({ x: size, y: processor })));
-    console.log(`slope from 30 on: ${bytesSlope.toFixed(2)} B/s, ${(processorSlope * 1_000).toFixed(1)} us/s a member`);
+    console.log(
+        `slope from 30 members up: ${bytesSlope.toFixed(2)} B/s, ${
+            (processorSlope * 1_000).toFixed(1)
+        } us/s per member`,
+    );
 }
 
 function hasState(node: SimulatedNode, nodeId: string, states: readonly string[]): boolean {
     return states.includes(node.view.getMember(nodeId)?.state ?? "unknown");
 }
 
-function measureSpread(size: number, fanOut: number): void {
-    const fleet = SimulatedFleet.create(size, fanOut, interval, 0, size * fanOut);
-    const joined = fleet.add(0).view.getSelf().nodeId;
-    const joinRounds = fleet.runUntil(() => fleet.nodes.every(node => hasState(node, joined, ["alive"])), roundLimit);
-    const lost = fleet.nodes[0] as SimulatedNode;
-    const nodeId = lost.view.getSelf().nodeId;
-    lost.isUp = false;
+/** Prints how many rounds membership changes take to reach all nodes. */
+function measurePropagation(size: number, fanOut: number): void {
+    const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, 0, size * fanOut);
+    const joinedNodeId = fleet.add(0).view.getSelf().nodeId;
+    const joinRounds = fleet.runUntil(
+        () => fleet.nodes.every(node => hasState(node, joinedNodeId, ["alive"])),
+        maximumRounds,
+    );
+    const failedNode = fleet.nodes[0] as SimulatedNode;
+    const failedNodeId = failedNode.view.getSelf().nodeId;
+    failedNode.isUp = false;
     const others = fleet.nodes.slice(1);
-    const suspected = (): boolean => others.every(node => hasState(node, nodeId, ["suspect", "dead"]));
-    const suspectRounds = fleet.runUntil(suspected, roundLimit);
-    const deadRounds = fleet.runUntil(() => others.every(node => hasState(node, nodeId, ["dead"])), roundLimit);
+    const isSuspectedByAll = (): boolean => others.every(node => hasState(node, failedNodeId, ["suspect", "dead"]));
+    const suspectRounds = fleet.runUntil(isSuspectedByAll, maximumRounds);
+    const deadRounds = fleet.runUntil(
+        () => others.every(node => hasState(node, failedNodeId, ["dead"])),
+        maximumRounds,
+    );
     const refutationRounds = measureRefutation(size, fanOut);
     const columns = [joinRounds, suspectRounds, suspectRounds + deadRounds, refutationRounds];
     console.log(`${size.toString().padStart(4)} ${fanOut.toString().padStart(4)} ${columns.join("  ")}`);
 }
 
-/** Measures the most rounds from a mistaken suspicion until all have the refutation. */
+/** Measures the maximum number of rounds from a false suspicion until all nodes have received the refutation. */
 function measureRefutation(size: number, fanOut: number): number {
-    let most = 0;
+    let largest = 0;
     for (let trial = 0; trial < trials; trial++) {
-        const fleet = SimulatedFleet.create(size, fanOut, interval, 0, trial + 1);
-        const accused = fleet.nodes[1] as SimulatedNode;
-        const { nodeId, incarnation } = accused.view.getSelf();
+        const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, 0, trial + 1);
+        const suspectedNode = fleet.nodes[1] as SimulatedNode;
+        const { nodeId, incarnation } = suspectedNode.view.getSelf();
         fleet.nodes[0]?.view.noteMiss(nodeId, 0);
         const isRefuted = (): boolean =>
             fleet.nodes.every(node => (node.view.getMember(nodeId)?.incarnation ?? 0) > incarnation);
-        most = Math.max(most, fleet.runUntil(isRefuted, roundLimit));
+        largest = Math.max(largest, fleet.runUntil(isRefuted, maximumRounds));
     }
-    return most;
+    return largest;
 }
 
+/** Prints the size of a full view and the cost of pulling it periodically. */
 function printPulls(): void {
     for (const size of sizes) {
-        const node = SimulatedFleet.create(size, 1, interval, 0, 1).nodes[0] as SimulatedNode;
+        const node = SimulatedFleet.create(size, 1, intervalMilliseconds, 0, 1).nodes[0] as SimulatedNode;
         const response = toBinary(GossipResponseSchema, node.exchange.answer(node.exchange.createPull(), 0));
         const rate = 2 * response.length / pullIntervalSeconds;
         console.log(
-            `${size} members: a whole view is ${response.length} B, a pull a minute ${rate.toFixed(0)} B/s a node`,
+            `${size} members: full view ${response.length} B, one pull per minute ${rate.toFixed(0)} B/s per node`,
         );
     }
 }
 
 const call = await measureCallCost();
 console.log(
-    `One heartbeat over HTTP/2, request and answer: ${call.messageBytes} B of messages, ${
+    `One heartbeat over HTTP/2, request and response: ${call.messageBytes} B of messages, ${
         call.warmBytes.toFixed(0)
     } B on `
-        + `an open connection, ${call.coldBytes} B with its opening (TCP and IP headers not counted);\n`
-        + `processor time of both ends ${call.warmCpuMicroseconds.toFixed(0)} us, with the opening `
+        + `an open connection, ${call.coldBytes} B including connection setup (without TCP and IP headers);\n`
+        + `processor time of both ends ${call.warmCpuMicroseconds.toFixed(0)} us, including connection setup `
         + `${call.coldCpuMicroseconds.toFixed(0)} us; memory of a connection, both ends, `
         + `${(call.connectionBytes / 1_024).toFixed(0)} KiB.`,
 );
 const overhead = call.warmBytes - call.messageBytes;
-const print = (title: string, costs: readonly Cost[]): void =>
+const printCosts = (title: string, costs: readonly Cost[]): void =>
     printSteady(title, costs, overhead, call.warmCpuMicroseconds);
-console.log(`Interval ${interval} ms.`);
-print("Full mesh", sizes.map(size => measureSteady(size, size, 0)));
+console.log(`Interval ${intervalMilliseconds} ms.`);
+printCosts("Full mesh", sizes.map(size => measureSteady(size, size, 0)));
 for (const fanOut of fanOuts) {
-    print(`Fan-out ${fanOut}`, sizes.map(size => measureSteady(size, fanOut, 0)));
-    const title = `Fan-out ${fanOut}, ${payloadRecords} endpoint records a message`;
-    print(title, sizes.map(size => measureSteady(size, fanOut, payloadRecords)));
+    printCosts(`Fan-out ${fanOut}`, sizes.map(size => measureSteady(size, fanOut, 0)));
+    const title = `Fan-out ${fanOut}, ${payloadRecords} endpoint records per message`;
+    printCosts(title, sizes.map(size => measureSteady(size, fanOut, payloadRecords)));
 }
 console.log("");
 printPulls();
 console.log(
-    "\nmembers, fan-out, rounds until all: know a new member, suspect a lost one, hold it as dead, have a refutation",
+    "\nmembers, fan-out, rounds until all: know a new member, suspect a failed one, consider it dead, have a refutation",
 );
 for (const fanOut of fanOuts) {
     for (const size of sizes) {
-        measureSpread(size, fanOut);
+        measurePropagation(size, fanOut);
     }
 }
--- a/bench/membership/measureCallCost.ts
+++ b/bench/membership/measureCallCost.ts
@@ -14,22 +14,22 @@
 const secret = "a-secret-of-usual-length-0123456789";
 const warmCalls = 2_000;
 const coldCalls = 200;
-const heldConnections = 300;
+const measuredConnections = 300;
 const log = { write: () => undefined };
 
-/** What one heartbeat costs over a real loopback connection. */
+/** The cost of one heartbeat over a real loopback connection. */
 interface CallCost {
     /** Bytes of the two protobuf messages. */
     messageBytes: number;
-    /** Bytes on an open connection, without TCP and IP headers. */
+    /** Bytes in both directions over an open connection, without TCP and IP headers. */
     warmBytes: number;
-    /** Bytes with the opening of the connection. */
+    /** Bytes in both directions including the connection setup, without TCP and IP headers. */
     coldBytes: number;
-    /** Processor microseconds of both ends on an open connection. */
+    /** Processor time of both ends together on an open connection. */
     warmCpuMicroseconds: number;
-    /** The same with the opening of the connection. */
+    /** Processor time of both ends together, including the connection setup. */
     coldCpuMicroseconds: number;
-    /** Resident bytes of an open connection, both ends. */
+    /** Resident memory of an open connection, both ends together. */
     connectionBytes: number;
 }
 
@@ -42,9 +42,9 @@
     const server = await PeerServer.create({ address: "127.0.0.1:0", secret, log, handlers });
     const request = first.exchange.createHeartbeat(undefined);
     const requestBytes = toBinary(GossipRequestSchema, request).length;
-    const answerBytes = toBinary(GossipResponseSchema, await gossip(request)).length;
+    const responseBytes = toBinary(GossipResponseSchema, await gossip(request)).length;
     const cost: CallCost = {
-        messageBytes: requestBytes + answerBytes,
+        messageBytes: requestBytes + responseBytes,
         ...await measureBytes(server, request),
         ...await measureProcessorTime(server, request),
         connectionBytes: await measureMemory(server, request),
@@ -57,14 +57,14 @@
     server: PeerServer,
     request: GossipRequest,
 ): Promise<Pick<CallCost, "warmBytes" | "coldBytes">> {
-    const relay = await LoopbackProxy.create(() => server.getAddress());
+    const proxy = await LoopbackProxy.create(() => server.getAddress());
     const connections = PeerConnections.create({ secret, log });
-    await callMany(connections, relay.getAddress(), request, 1);
-    const coldBytes = relay.getByteCount();
-    await callMany(connections, relay.getAddress(), request, coldCalls);
-    const warmBytes = (relay.getByteCount() - coldBytes) / coldCalls;
+    await callMany(connections, proxy.getAddress(), request, 1);
+    const coldBytes = proxy.getByteCount();
+    await callMany(connections, proxy.getAddress(), request, coldCalls);
+    const warmBytes = (proxy.getByteCount() - coldBytes) / coldCalls;
     connections.close();
-    await relay.close();
+    await proxy.close();
     return { warmBytes, coldBytes };
 }
 
@@ -74,36 +74,36 @@
 ): Promise<Pick<CallCost, "warmCpuMicroseconds" | "coldCpuMicroseconds">> {
     const connections = PeerConnections.create({ secret, log });
     await callMany(connections, server.getAddress(), request, warmCalls);
-    const beforeWarm = process.cpuUsage();
+    const warmUsageBefore = process.cpuUsage();
     await callMany(connections, server.getAddress(), request, warmCalls);
-    const warm = process.cpuUsage(beforeWarm);
+    const warmUsage = process.cpuUsage(warmUsageBefore);
     connections.close();
-    const beforeCold = process.cpuUsage();
+    const coldUsageBefore = process.cpuUsage();
     for (let call = 0; call < coldCalls; call++) {
         const fresh = PeerConnections.create({ secret, log });
         await callMany(fresh, server.getAddress(), request, 1);
         fresh.close();
     }
-    const cold = process.cpuUsage(beforeCold);
+    const coldUsage = process.cpuUsage(coldUsageBefore);
     return {
-        warmCpuMicroseconds: (warm.user + warm.system) / warmCalls,
-        coldCpuMicroseconds: (cold.user + cold.system) / coldCalls,
+        warmCpuMicroseconds: (warmUsage.user + warmUsage.system) / warmCalls,
+        coldCpuMicroseconds: (coldUsage.user + coldUsage.system) / coldCalls,
     };
 }
 
 async function measureMemory(server: PeerServer, request: GossipRequest): Promise<number> {
-    const before = process.memoryUsage().rss;
-    const held: PeerConnections[] = [];
-    for (let index = 0; index < heldConnections; index++) {
+    const bytesBefore = process.memoryUsage().rss;
+    const opened: PeerConnections[] = [];
+    for (let index = 0; index < measuredConnections; index++) {
         const connections = PeerConnections.create({ secret, log });
         await callMany(connections, server.getAddress(), request, 1);
-        held.push(connections);
+        opened.push(connections);
     }
-    const grown = process.memoryUsage().rss - before;
-    for (const connections of held) {
+    const growthBytes = process.memoryUsage().rss - bytesBefore;
+    for (const connections of opened) {
         connections.close();
     }
-    return grown / heldConnections;
+    return growthBytes / measuredConnections;
 }
 
 async function callMany(
--- a/bench/membership/simulatedFleet.ts
+++ b/bench/membership/simulatedFleet.ts
@@ -12,25 +12,30 @@
 } from "../../src/wire/generated/foxlead/peer/v1/peer_pb.ts";
 import type { SimulatedNode } from "./simulatedNode.ts";
 
-/** More than the times that a change is passed on at 340 members. */
+/** More rounds than a change is transmitted in at 340 members. */
 const settleRounds = 20;
 const suspicionTimeoutMilliseconds = 3_000;
 
-/** All nodes of one size and fan-out. */
+/** A simulated cluster whose nodes exchange gossip messages without sockets. */
 export class SimulatedFleet {
     readonly nodes: SimulatedNode[] = [];
-    /** Bytes of all messages so far. */
+    /** Total size of the messages sent so far, in bytes. */
     bytes = 0;
-    /** Number of all messages so far. */
+    /** Number of messages sent so far. */
     messages = 0;
     private readonly fanOut: number;
     private readonly random: () => number;
     private now = 0;
+    private readonly intervalMilliseconds: number;
 
-    private readonly interval: number;
-
-    private constructor(size: number, fanOut: number, interval: number, payloadRecords: number, seed: number) {
-        this.interval = interval;
+    private constructor(
+        size: number,
+        fanOut: number,
+        intervalMilliseconds: number,
+        payloadRecords: number,
+        seed: number,
+    ) {
+        this.intervalMilliseconds = intervalMilliseconds;
         this.fanOut = fanOut;
         const generator = xoroshiro128plus(seed);
         this.random = () => (generator.next() >>> 0) / 2 ** 32;
@@ -43,26 +48,26 @@
     }
 
     /**
-     * Creates nodes that all know each other and have nothing left to pass on.
+     * Creates nodes that all know each other and have no changes left to send.
      * @param size - Number of nodes.
-     * @param fanOut - Peers contacted in a round.
-     * @param interval - Milliseconds between two rounds.
-     * @param payloadRecords - Endpoint records in each message.
-     * @param seed - Seed of the random order of contacts.
+     * @param fanOut - Number of peers that each node contacts per round.
+     * @param intervalMilliseconds - Time between two rounds.
+     * @param payloadRecords - Number of endpoint records in each message.
+     * @param seed - Seed of the random order in which peers are contacted.
      */
     static create(
         size: number,
         fanOut: number,
-        interval: number,
+        intervalMilliseconds: number,
         payloadRecords: number,
         seed: number,
     ): SimulatedFleet {
-        const fleet = new SimulatedFleet(size, fanOut, interval, payloadRecords, seed);
+        const fleet = new SimulatedFleet(size, fanOut, intervalMilliseconds, payloadRecords, seed);
         fleet.settle();
         return fleet;
     }
 
-    /** Adds a node that has pulled the whole view. */
+    /** Adds a node that has pulled the full view. */
     add(payloadRecords: number): SimulatedNode {
         const node = this.createNode(this.nodes.length, payloadRecords);
         this.nodes.push(node);
@@ -70,14 +75,14 @@
         return node;
     }
 
-    /** Lets a node have the whole view, as after a pull. */
+    /** Applies the full view to a node, as after a pull. */
     private pull(node: SimulatedNode): void {
         const members = this.nodes.map(other => memberCodec.encode(other.view.getSelf()));
         const response: GossipResponse = create(GossipResponseSchema, { members });
         node.exchange.applyResponse(response, "", true, this.now);
     }
 
-    /** Empties the queues of changes that the start has filled. */
+    /** Drains the queues of changes that the creation of the nodes has filled. */
     private settle(): void {
         for (let round = 0; round < settleRounds; round++) {
             for (const node of this.nodes) {
@@ -86,19 +91,24 @@
         }
     }
 
-    /** Runs rounds until a condition holds and gets their number. */
-    runUntil(isDone: () => boolean, limit: number): number {
+    /**
+     * Runs rounds until a condition holds.
+     * @param isDone - The condition.
+     * @param maximumRounds - Rounds after which to stop even if the condition doesn't hold.
+     * @returns The number of rounds that were run.
+     */
+    runUntil(isDone: () => boolean, maximumRounds: number): number {
         let round = 0;
-        while (!isDone() && round < limit) {
+        while (!isDone() && round < maximumRounds) {
             this.runRound();
             round++;
         }
         return round;
     }
 
-    /** Lets each node contact its peers once. */
+    /** Runs one round, in which each node contacts `fanOut` of its peers. */
     runRound(): void {
-        this.now += this.interval;
+        this.now += this.intervalMilliseconds;
         for (const node of this.nodes) {
             if (node.isUp) {
                 node.view.advance(this.now);
@@ -115,19 +125,20 @@
         }
     }
 
+    /** Runs one gossip exchange, in which messages are encoded and decoded as on a connection. */
     private exchange(node: SimulatedNode, nodeId: string): void {
         const peer = this.nodes[Number(nodeId.split("-")[1])] as SimulatedNode;
-        const request = toBinary(GossipRequestSchema, node.exchange.createHeartbeat(node.view.getMember(nodeId)));
-        this.count(request);
+        const requestBytes = toBinary(GossipRequestSchema, node.exchange.createHeartbeat(node.view.getMember(nodeId)));
+        this.count(requestBytes);
         if (!peer.isUp) {
             node.view.noteMiss(nodeId, this.now);
             return;
         }
-        const answer = peer.exchange.answer(fromBinary(GossipRequestSchema, request), this.now);
-        const response = toBinary(GossipResponseSchema, answer);
-        this.count(response);
+        const response = peer.exchange.answer(fromBinary(GossipRequestSchema, requestBytes), this.now);
+        const responseBytes = toBinary(GossipResponseSchema, response);
+        this.count(responseBytes);
         const address = peer.view.getSelf().peerAddress;
-        node.exchange.applyResponse(fromBinary(GossipResponseSchema, response), address, false, this.now);
+        node.exchange.applyResponse(fromBinary(GossipResponseSchema, responseBytes), address, false, this.now);
         node.view.noteContact(nodeId);
     }
 
--- a/bench/membership/simulatedNode.ts
+++ b/bench/membership/simulatedNode.ts
@@ -2,11 +2,11 @@
 import type { MembershipView } from "../../src/process/membership/membershipView.ts";
 import type { PeerRotation } from "../../src/process/membership/peerRotation.ts";
 
-/** A simulated node. */
+/** A node of a {@link SimulatedFleet}. */
 export interface SimulatedNode {
     view: MembershipView;
     exchange: GossipExchange;
     rotation: PeerRotation;
-    /** Whether it answers and contacts others. */
+    /** If the node responds to its peers and contacts them. */
     isUp: boolean;
 }
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,6 +1,7 @@
 /**
- * Measures the path of a request through one node: requests, tokens and hops a second, processor time a hop, and latency,
- * against the same passes sent to the stand-ins directly. Engines take no time for a step, so what shows is overhead.
+ * Measures the path of a request through one node: requests, tokens and hops per second, processor time per hop, and
+ * latency, compared with the same passes sent directly to the stand-ins. Engine steps take almost no time, so the figures
+ * show the overhead of the node.
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import { LocalDeployment } from "../scripts/deployment/localDeployment.ts";
@@ -8,7 +9,7 @@
 import { readProcessorTime } from "./path/readProcessorTime.ts";
 import { sendDirect } from "./path/sendDirect.ts";
 
-/** What one way of asking showed. */
+/** Results for one way of sending the requests. */
 interface PathFigures {
     way: string;
     callers: number;
@@ -17,7 +18,7 @@
     hopsPerSecond: number;
     medianMilliseconds: number;
     percentile99Milliseconds: number;
-    /** Processor time of the asking process (direct) or of the node, a hop. */
+    /** Processor time per hop of this process for direct requests, of the node otherwise. */
     processorMicrosecondsPerHop: number;
 }
 
@@ -77,7 +78,7 @@
         isStreamed: true,
     });
     if (!answer.isWhole) {
-        throw new Error(`A request was not answered whole: ${answer.status} ${answer.errorCode}.`);
+        throw new Error(`A response was incomplete: ${answer.status} ${answer.errorCode}.`);
     }
     return answer.text.trim().split(" ").length;
 }
@@ -122,19 +123,26 @@
     };
 }
 
-/** Runs requests by so many callers at once and returns the tokens of all; latencies are recorded in microseconds. */
+/**
+ * Runs requests from concurrent callers.
+ * @param callers - Number of concurrent callers.
+ * @param requests - Number of requests of all callers together.
+ * @param run - Runs the request with an index and returns its number of tokens.
+ * @param histogram - Records the latencies, in microseconds.
+ * @returns The number of tokens of all responses.
+ */
 async function runAll(
     callers: number,
     requests: number,
     run: (index: number) => Promise<number>,
     histogram: Histogram,
 ): Promise<number> {
-    let next = 0;
+    let nextIndex = 0;
     let tokens = 0;
     const runCaller = async () => {
-        while (next < requests) {
-            const index = next;
-            next += 1;
+        while (nextIndex < requests) {
+            const index = nextIndex;
+            nextIndex += 1;
             const startedAt = performance.now();
             const count = await run(index);
             tokens += count;
--- a/bench/path/readProcessorTime.ts
+++ b/bench/path/readProcessorTime.ts
@@ -3,9 +3,9 @@
 const microsecondsPerSecond = 1_000_000;
 
 /**
- * Reads the processor time that a node has used, from its metrics.
- * @param adminAddress - host:port of its admin listener.
- * @returns Times in microseconds, as `process.cpuUsage` gives them.
+ * Reads the processor time that a node has used from its metrics.
+ * @param adminAddress - host:port of the node's admin listener.
+ * @returns Times in microseconds, as returned by `process.cpuUsage`.
  */
 export async function readProcessorTime(adminAddress: string): Promise<NodeJS.CpuUsage> {
     const response = await request(`http://${adminAddress}/metrics`);
--- a/bench/path/sendDirect.ts
+++ b/bench/path/sendDirect.ts
@@ -1,9 +1,9 @@
 import { Agent } from "undici";
 import type { PassResult } from "../../src/connection/endpoint/engineProtocol.ts";
 
-/** A generated answer without foxlead. */
+/** Options of {@link sendDirect}. */
 interface DirectOptions {
-    /** host:port of the engines, in the order of their layers. */
+    /** host:port of the engines, ordered by their layers. */
     addresses: readonly string[];
     model: string;
     layers: number;
@@ -12,15 +12,16 @@
 }
 
 const agent = new Agent({ connections: 64 });
-let nextRequest = 1;
+let nextRequestNumber = 1;
 
 /**
- * Sends the passes of one answer to the engines directly, one call a pass, and returns the tokens.
- * @param options - The answer.
+ * Generates one response by sending its passes directly to the engines, with one call per pass and without a node.
+ * @param options - The engines and the request.
+ * @returns The number of generated tokens.
  */
 export async function sendDirect(options: DirectOptions): Promise<number> {
     const { addresses, layers, model } = options;
-    const request = `direct-${nextRequest++}`;
+    const request = `direct-${nextRequestNumber++}`;
     const layersPerStage = layers / addresses.length;
     let input: object = { text: options.prompt, tokens: [] };
     let position = 0;
@@ -29,9 +30,9 @@
         let result: PassResult | undefined;
         for (const [stage, address] of addresses.entries()) {
             const layerStart = stage * layersPerStage;
-            const common = { id: 1, request, attempt: 1, model, position, layerStart, priority: 0 };
+            const commonFields = { id: 1, request, attempt: 1, model, position, layerStart, priority: 0 };
             const stageInput = result === undefined ? input : { hidden: result.hidden };
-            result = await sendPass(address, { ...common, layerEnd: layerStart + layersPerStage, ...stageInput });
+            result = await sendPass(address, { ...commonFields, layerEnd: layerStart + layersPerStage, ...stageInput });
         }
         if (result === undefined || result.end === true) {
             break;
@@ -47,7 +48,7 @@
 async function sendPass(address: string, pass: object): Promise<PassResult> {
     const result = JSON.parse(await post(address, "/v1/passes", { passes: [pass] })) as PassResult;
     if (result.outcome !== "done") {
-        throw new Error(`A direct pass was ${result.outcome}: ${result.reason}.`);
+        throw new Error(`A direct pass had the outcome ${result.outcome}: ${result.reason}.`);
     }
     return result;
 }
--- a/bench/recovery.ts
+++ b/bench/recovery.ts
@@ -1,7 +1,7 @@
 /**
- * Measures recovery: how long streams stand still after a fault of engines, of connections or of a node, and how long the
- * tokens a second take to come back, against a plain baseline in the same run. Engines are processes of their own. One line of JSON a fault and router; times
- * are in milliseconds.
+ * Measures recovery: how long streams stall after a fault of engines, connections or a node, and how long the throughput
+ * takes to recover, compared with a plain baseline router in the same run. Engines run in separate processes. Prints one
+ * line of JSON per fault and router; times are in milliseconds.
  */
 import yargs from "yargs";
 import { EngineFleet } from "./recovery/engineFleet.ts";
@@ -14,10 +14,18 @@
 import { summarizeTrials } from "./recovery/summarizeTrials.ts";
 
 const options = yargs(process.argv.slice(2))
-    .option("seeds", { type: "number", default: 5, description: "Trials of each fault and router." })
-    .option("streams", { type: "number", default: 24, description: "Streams in flight at the fault." })
-    .option("fault", { type: "string", default: "", description: "Only faults whose name contains this." })
-    .option("router", { type: "string", default: "", description: "Only `foxlead` or `plain`." })
+    .option("seeds", { type: "number", default: 5, description: "Number of trials per fault and router." })
+    .option("streams", {
+        type: "number",
+        default: 24,
+        description: "Number of streams in flight when the fault occurs.",
+    })
+    .option("fault", { type: "string", default: "", description: "Run only faults whose name contains this text." })
+    .option("router", {
+        type: "string",
+        default: "",
+        description: "Run only routers whose name contains this text: `foxlead` or `plain`.",
+    })
     .strict()
     .parseSync();
 
@@ -40,9 +48,9 @@
             continue;
         }
         for (const [router, createRouter] of Object.entries(routers)) {
-            // Without a fault the matter is false alarms, which the baseline can't have.
-            const isMeaningless = fault === undefined && router === "plain";
-            if (isMeaningless || !router.includes(options.router)) {
+            // Trials without a fault measure false alarms, which the baseline can't raise.
+            const isInapplicable = fault === undefined && router === "plain";
+            if (isInapplicable || !router.includes(options.router)) {
                 continue;
             }
             const trials: TrialFigures[] = [];
