--- a/bench/capacity/budgets.ts
+++ b/bench/capacity/budgets.ts
@@ -1,10 +1,13 @@
-/** Limits that the letter and the platform set. */
+/** Limits that the requirements and the platform set. */
 export const budgets = {
-    /** 2.6% of a core, in milliseconds a second. */
+    /** Processor time of a node's control work in milliseconds per second: 2.6% of a core. */
     controlMilliseconds: 26,
+    /** Memory of a node. */
     controlMegabytes: 128,
+    /** Bytes of a node's control traffic per second, both directions. */
     controlKilobytes: 17,
-    /** Several hundred writes a second; a choice of what that means. */
+    /** Writes per second; the platform is only specified to take several hundred. */
     storeWrites: 500,
+    /** Reads per second. */
     storeReads: 2_000,
 } as const;
--- a/bench/capacity/collectNodeGarbage.ts
+++ b/bench/capacity/collectNodeGarbage.ts
@@ -1,11 +1,11 @@
-/** A message of the inspector's protocol, as far as it is read here. */
-interface InspectorAnswer {
+/** The part of an inspector protocol response that is read here. */
+interface InspectorResponse {
     id?: number;
 }
 
 /**
- * Collects the garbage of a node that was started with `--inspect`, so that its heap holds only what is in use.
- * @param lines - What the node has written; the inspector's address stands there.
+ * Runs the garbage collector of a node that was started with `--inspect`, so that its heap holds only objects in use.
+ * @param lines - Output of the node, which contains the address of the inspector.
  */
 export async function collectNodeGarbage(lines: readonly string[]): Promise<void> {
     const address = /ws:\/\/127\.0\.0\.1:\d+\/\S+/.exec(lines.join("\n"))?.[0];
@@ -17,14 +17,14 @@
         socket.onopen = resolve;
         socket.onerror = reject;
     });
-    const answered = new Promise<void>(resolve => {
+    const responded = new Promise<void>(resolve => {
         socket.onmessage = event => {
-            if ((JSON.parse(String(event.data)) as InspectorAnswer).id === 1) {
+            if ((JSON.parse(String(event.data)) as InspectorResponse).id === 1) {
                 resolve();
             }
         };
     });
     socket.send(JSON.stringify({ id: 1, method: "HeapProfiler.collectGarbage" }));
-    await answered;
+    await responded;
     socket.close();
 }
--- a/bench/capacity/computeNodeTotals.ts
+++ b/bench/capacity/computeNodeTotals.ts
@@ -8,44 +8,47 @@
 const { nodes, runners, models, customers, configurationChangesPerDay } = letterSize;
 const vms = nodes + runners;
 const secondsPerDay = 86_400;
-/** The numbers of the program: src/process/membershipService.ts, foxleadNode.ts, endpointService.ts and membership. */
-const vmListPerSecond = 1;
-/** Stretched with the nodes; src/process/membership/getStretch.ts. */
-const backstopSeconds = 10 * nodes / unstretchedNodes;
+// These constants repeat values of membershipService.ts, foxleadNode.ts, endpointService.ts and the membership folder in
+// src/process.
+const vmListReadsPerSecond = 1;
+/** Interval of the periodic reads of the configuration, which grows with the number of nodes as in `getStretch`. */
+const checkIntervalSeconds = 10 * nodes / unstretchedNodes;
 const observeRoundsPerSecond = 2;
-const observersOfEndpoint = 3;
+const observersPerEndpoint = 3;
 const gossipRequestsPerSecond = 6;
-/** Demand records of a request above nine nodes, and what one takes; src/process/foxleadNode.ts. */
-const demandRecords = 4;
+/** Demand records per gossip request in a cluster of more than nine nodes; see src/process/foxleadNode.ts. */
+const demandRecordsPerRequest = 4;
 const demandRecordBytes = 30;
-/** One report of the demand serves all requests of a round; src/request/admission/customerLimits.ts. */
+/** Each gossip round computes the demand once for all its requests; see src/request/admission/customerLimits.ts. */
 const demandReportsPerSecond = 2;
 /**
- * The letter names 233 failures and restarts of VMs a day; a node's share of them, each seen as leaving and coming, clears
- * the kept duty to observe. So does a change of the configuration.
+ * Changes of the members per day. The design size has 233 failures and restarts of VMs per day; those of nodes change the
+ * members twice, as the node leaves and as it returns. Each change clears the cached assignment of the observers, and so
+ * does a change of the configuration.
  */
 const memberChangesPerDay = 2 * 233 * nodes / (nodes + runners);
-/** Records that one node hears in a second at most: two in an answer to it, one in a request of a peer. */
-const recordsHeardPerSecond = gossipRequestsPerSecond * 3;
-/** src/request/gateCapacities.ts and src/process/nodeFigures.ts. */
+/** Most endpoint records that a node receives per second: two in each response, one in each request of a peer. */
+const receivedRecordsPerSecond = gossipRequestsPerSecond * 3;
+/** See src/request/gateCapacities.ts. */
 const capacityRefreshesPerSecond = 2;
-const boundSeconds = 30;
-/** A choice: a scraper asks for the metrics this often. */
-const scrapeSeconds = 15;
+/** Interval at which `NodeFigures` computes the fleet's throughput bound. */
+const boundIntervalSeconds = 30;
+/** Interval at which the metrics are scraped. */
+const scrapeIntervalSeconds = 15;
 
-/** What one part of control costs a node. */
+/** The cost of one part of a node's control work. */
 interface ControlPart {
     role: string;
-    /** Processor milliseconds a second. */
+    /** Processor time in milliseconds per second. */
     processor: number;
-    /** Bytes a second in both directions. */
+    /** Bytes per second in both directions. */
     bytes: number;
 }
 
 /**
- * Works out what control costs a node that owns no claim shard and holds no orders.
- * @param slopes - Slopes of a whole run.
- * @param idleNode - A node without a configuration.
+ * Computes the cost of control work on a node that owns no claim shard and doesn't hold the order lease.
+ * @param slopes - Slopes of a complete run.
+ * @param idleNode - Measurements of an idle node without a configuration.
  */
 export function computeNodeTotals(slopes: SlopeTable, idleNode: IdleNode | undefined): Total[] {
     const parts = [
@@ -73,13 +76,13 @@
     return [
         {
             role: "VM list reader",
-            processor: vmListPerSecond * slopes.getValue("vmList.read", vms),
-            bytes: vmListPerSecond * slopes.getValue("vmList.bytes", vms),
+            processor: vmListReadsPerSecond * slopes.getValue("vmList.read", vms),
+            bytes: vmListReadsPerSecond * slopes.getValue("vmList.bytes", vms),
         },
         {
             role: "store watcher, backstop",
-            processor: slopes.getValue("configuration.read", kibibytes) / backstopSeconds,
-            bytes: slopes.getValue("configuration.readBytes", kibibytes) * 1_024 / backstopSeconds,
+            processor: slopes.getValue("configuration.read", kibibytes) / checkIntervalSeconds,
+            bytes: slopes.getValue("configuration.readBytes", kibibytes) * 1_024 / checkIntervalSeconds,
         },
     ];
 }
@@ -97,21 +100,21 @@
         },
         {
             role: "configuration, changes",
-            // Each text is fetched once and, in the mean, given to one other node.
+            // A node fetches each text once and sends it to one other node on average.
             processor: changesPerSecond * (parse + 2 * slopes.getValue("peers.text", text / 1_024)),
             bytes: changesPerSecond * 2 * text,
         },
         {
             role: "customer limits",
             processor: demandReportsPerSecond * slopes.getValue("customers.demand", customers) / 1_000,
-            // Requests of this node and to it.
-            bytes: 2 * gossipRequestsPerSecond * demandRecords * demandRecordBytes,
+            // Counts the requests that the node sends and those that it receives.
+            bytes: 2 * gossipRequestsPerSecond * demandRecordsPerRequest * demandRecordBytes,
         },
     ];
 }
 
 function createEndpointParts(slopes: SlopeTable): ControlPart[] {
-    const calls = runners * observersOfEndpoint / nodes * observeRoundsPerSecond;
+    const calls = runners * observersPerEndpoint / nodes * observeRoundsPerSecond;
     const dutyChangesPerSecond = (memberChangesPerDay + configurationChangesPerDay) / secondsPerDay;
     const messages = 2 * gossipRequestsPerSecond;
     return [
@@ -128,7 +131,7 @@
         },
         {
             role: "endpoint observer, records",
-            processor: (recordsHeardPerSecond * slopes.getSlope("observer.record")
+            processor: (receivedRecordsPerSecond * slopes.getSlope("observer.record")
                 + messages * slopes.getValue("observer.collect", runners)) / 1_000,
             bytes: 0,
         },
@@ -139,13 +142,13 @@
         },
         {
             role: "bound of the fleet",
-            processor: slopes.getValue("chains.bound", runners) / boundSeconds,
+            processor: slopes.getValue("chains.bound", runners) / boundIntervalSeconds,
             bytes: 0,
         },
         {
             role: "metrics",
-            processor: slopes.getValue("metrics.processor", runners) / scrapeSeconds,
-            bytes: slopes.getValue("metrics.bytes", runners) / scrapeSeconds,
+            processor: slopes.getValue("metrics.processor", runners) / scrapeIntervalSeconds,
+            bytes: slopes.getValue("metrics.bytes", runners) / scrapeIntervalSeconds,
         },
     ];
 }
--- a/bench/capacity/computeStoreTotals.ts
+++ b/bench/capacity/computeStoreTotals.ts
@@ -6,18 +6,18 @@
 const { nodes, runners, customers } = letterSize;
 const shards = 4;
 
-/** Works out what the platform's service has to bear from all nodes together. */
+/** Computes the load that all nodes together put on the platform's service. */
 export function computeStoreTotals(slopes: SlopeTable): Total[] {
     const role = "platform's service, all nodes";
     const textKibibytes = (slopes.getValue("configuration.customer.bytes", customers)
         + runners * slopes.getSlope("configuration.runner.bytes")) / 1_024;
     const reads = slopes.getValue("store.reads", nodes);
-    const bytesOfReads = reads * slopes.getValue("configuration.readBytes", textKibibytes) * 1_024;
+    const readBytes = reads * slopes.getValue("configuration.readBytes", textKibibytes) * 1_024;
     const listBytes = nodes * slopes.getValue("vmList.bytes", nodes + runners);
-    const orders = slopes.getValue("orders.store", runners);
-    const stored = slopes.getValue("configuration.customer.stored", customers)
+    const orderCalls = slopes.getValue("orders.store", runners);
+    const storedBytes = slopes.getValue("configuration.customer.stored", customers)
         + runners * slopes.getSlope("configuration.runner.stored");
-    const writes = slopes.getValue("claims.writesByShards", shards) + orders;
+    const writes = slopes.getValue("claims.writesByShards", shards) + orderCalls;
     const watches = slopes.getValue("store.watches", nodes);
     return [
         { role, quantity: "writes, claims and orders", value: writes, unit: "1/s", budget: budgets.storeWrites },
@@ -28,11 +28,11 @@
             unit: "1/s",
             budget: budgets.storeReads,
         },
-        { role, quantity: "bytes of the backstop reads", value: bytesOfReads / 1e6, unit: "MB/s" },
+        { role, quantity: "bytes of the backstop reads", value: readBytes / 1e6, unit: "MB/s" },
         { role, quantity: "readings of the VM list", value: nodes, unit: "1/s", budget: budgets.storeReads },
         { role, quantity: "bytes of the VM list", value: listBytes / 1e6, unit: "MB/s" },
         { role, quantity: "text, one entry a line", value: textKibibytes * 1.024, unit: "KB", budget: 1_000 },
-        { role, quantity: "stored text, indented by 4", value: stored / 1_000, unit: "KB", budget: 1_000 },
+        { role, quantity: "stored text, indented by 4", value: storedBytes / 1_000, unit: "KB", budget: 1_000 },
         { role: "order holder", quantity: "processor", value: slopes.getValue("orders.round", runners), unit: "ms/s" },
         {
             role: "operator command",
--- a/bench/capacity/computeTotals.ts
+++ b/bench/capacity/computeTotals.ts
@@ -9,8 +9,8 @@
 import type { Total } from "./total.ts";
 
 /**
- * Works out the totals at the letter's size.
- * @param measurements - Those of a whole run.
+ * Computes the totals at the design size.
+ * @param measurements - Measurements of a complete run.
  */
 export function computeTotals(measurements: Measurements): Total[] {
     const slopes = SlopeTable.create(measurements.slopes);
@@ -23,11 +23,11 @@
     ];
 }
 
-/** Resident memory of the built node with the letter's configuration, and what membership adds to it. */
+/** Computes the resident memory of the built node with a configuration of the design size, plus that of membership. */
 function computeMemory({ idleNodes, peers }: Measurements, slopes: SlopeTable): Total[] {
     const { nodes, runners } = letterSize;
     const [start, large] = [idleNodes?.at(0), idleNodes?.at(-1)];
-    // A node holds one connection to each peer and one from each; a pair of ends was measured.
+    // A node has one connection to each peer and one from each. Both ends of a connection were measured together.
     const connections = (nodes - 1) * (peers?.connectionBytes ?? Number.NaN) / 1e6;
     const view = slopes.getValue("peers.heap", nodes) / 1e6;
     const engines = slopes.getValue("observer.heap", runners) / 1e6;
--- a/bench/capacity/countWireBytes.ts
+++ b/bench/capacity/countWireBytes.ts
@@ -1,14 +1,14 @@
 import { LoopbackProxy } from "../../standins/network/loopbackProxy.ts";
 
 /**
- * Counts the bytes that calls move in both directions, without the headers of TCP and IP.
- * @param address - host:port that is called.
- * @param run - Makes the calls at the address that it is given.
+ * Counts the bytes that calls transfer in both directions, without TCP and IP headers.
+ * @param address - host:port of the server.
+ * @param run - Makes the calls to the address of a proxy that is passed to it.
  */
 export async function countWireBytes(address: string, run: (address: string) => Promise<unknown>): Promise<number> {
-    const relay = await LoopbackProxy.create(() => address);
-    await run(relay.getAddress());
-    const bytes = relay.getByteCount();
-    await relay.close();
+    const proxy = await LoopbackProxy.create(() => address);
+    await run(proxy.getAddress());
+    const bytes = proxy.getByteCount();
+    await proxy.close();
     return bytes;
 }
--- a/bench/capacity/createBenchClaim.ts
+++ b/bench/capacity/createBenchClaim.ts
@@ -3,8 +3,8 @@
 import { createClaimKey } from "../../src/process/claims/createClaimKey.ts";
 
 /**
- * Creates a claim that nobody made before.
- * @param shard - Shard that it is aimed at: the customer's name carries it.
+ * Creates a claim with a unique key.
+ * @param shard - Shard of the claim, which is part of the customer's name.
  */
 export function createBenchClaim(shard: number): Claim {
     return {
--- a/bench/capacity/createBenchOwner.ts
+++ b/bench/capacity/createBenchOwner.ts
@@ -2,8 +2,8 @@
 import { systemClock } from "../../src/process/systemClock.ts";
 
 /**
- * Creates a claim owner with the defaults of the configuration, for claims of `createBenchClaim`.
- * @param options - The store, and what differs.
+ * Creates a claim owner with the default settings that decides claims of {@link createBenchClaim}.
+ * @param options - The store, and options that replace the defaults.
  */
 export function createBenchOwner(options: Partial<ClaimOwnerOptions> & Pick<ClaimOwnerOptions, "store">): ClaimOwner {
     return ClaimOwner.create({
--- a/bench/capacity/createMembers.ts
+++ b/bench/capacity/createMembers.ts
@@ -2,7 +2,7 @@
 import { MemberState } from "../../src/process/membership/memberState.ts";
 import { letterSize } from "./letterSize.ts";
 
-/** Creates the records of live members, the first of which is `entry-0`. */
+/** Creates records of live members named `entry-0`, `entry-1` and so on. */
 export function createMembers(count: number): Member[] {
     return Array.from({ length: count }, (_, index) => ({
         nodeId: `entry-${index}`,
--- a/bench/capacity/createObservedService.ts
+++ b/bench/capacity/createObservedService.ts
@@ -10,10 +10,10 @@
 import { letterSize } from "./letterSize.ts";
 
 /**
- * Creates the endpoint service of a node that is no member, so that it observes no engine itself.
- * @param engines - Engines of the configuration.
- * @param members - Members among which the observers are chosen.
- * @returns The service, and a function that runs its next round at once.
+ * Creates the endpoint service of a node that isn't a member, so that it observes no engine itself.
+ * @param engines - Number of engines in the configuration.
+ * @param members - Number of members from which the observers are selected.
+ * @returns The service, and a function that runs its next round immediately.
  */
 export async function createObservedService(engines: number, members: number) {
     const size = { customers: 0, runners: engines, models: letterSize.models };
--- a/bench/capacity/createSizedConfiguration.ts
+++ b/bench/capacity/createSizedConfiguration.ts
@@ -6,16 +6,17 @@
 const layersPerStage = layers / letterSize.stages;
 const accelerators = ["large", "medium", "small", "old"];
 
-/** Numbers of a configuration's entries. */
+/** Numbers of entries in a configuration. */
 interface ConfigurationSize {
     customers: number;
+    /** Number of endpoints that are engines. */
     runners: number;
     models: number;
 }
 
 /**
- * Creates the operators' text as a value, with names of ordinary length and every optional member that operators of
- * mixed accelerators need. The runners are dealt out to models and stages so that all layers are held.
+ * Creates a configuration as an object, with names of typical length and all optional members that operators of mixed
+ * accelerators need. The runners are distributed over models and stages so that all layers are served.
  * @param size - Numbers of entries.
  */
 export function createSizedConfiguration(size: ConfigurationSize): object {
--- a/bench/capacity/fitSlope.ts
+++ b/bench/capacity/fitSlope.ts
@@ -2,9 +2,9 @@
 import type { Slope } from "./slope.ts";
 
 /**
- * Fits a line by least squares.
- * @param description - What was measured.
- * @param points - The measurements, at three points or more.
+ * Fits a line by linear regression (least squares).
+ * @param description - The measured quantity and the variable.
+ * @param points - At least three measurements.
  */
 export function fitSlope(
     description: Pick<Slope, "id" | "role" | "quantity" | "unit" | "variable">,
--- a/bench/capacity/getHeapBytes.ts
+++ b/bench/capacity/getHeapBytes.ts
@@ -6,7 +6,7 @@
 setFlagsFromString("--expose-gc");
 const collectGarbage = runInNewContext("gc") as () => void;
 
-/** Gets the bytes of the objects that are still in use. */
+/** Collects garbage and gets the size of the heap in use, in bytes. */
 export function getHeapBytes(): number {
     for (let collection = 0; collection < collections; collection++) {
         collectGarbage();
--- a/bench/capacity/idleNode.ts
+++ b/bench/capacity/idleNode.ts
@@ -1,8 +1,9 @@
-/** A node process that serves no request. */
+/** Measurements of a node process that serves no requests. */
 export interface IdleNode {
+    /** Description of the state in which the node was measured. */
     state: string;
     residentMebibytes: number;
-    /** Part of the resident memory that holds pages of files: the executable. */
+    /** Resident memory that is mapped from files, such as the executable. */
     filesMebibytes: number;
     heapMebibytes: number;
     processorMillisecondsPerSecond: number;
--- a/bench/capacity/measureChains.ts
+++ b/bench/capacity/measureChains.ts
@@ -12,11 +12,11 @@
 const { nodes, models, runners: allRunners } = letterSize;
 const role = "chain choice";
 const sizes = [[30, 1], [300, 4], [1_200, 14]] as const;
-/** Decisions of one call of bench/policy/decisionCost.ts, those of its warm-up included. */
 const repetitions = 3;
+/** Decisions per call of {@link measureDecisionCost}, including its warm-up. */
 const decisions = 6_000;
 
-/** Measures the choice of a chain with its reservation, the observation of its passes and its release. */
+/** Measures the choice of a chain, including its reservation, the observation of its passes and its release. */
 export async function measureChains(): Promise<Slope[]> {
     const policy = policies.at(-1)!;
     const processor = [];
@@ -41,7 +41,7 @@
     ];
 }
 
-/** Measures the working out of the most positions a second that the fleet can carry. */
+/** Measures the computation of the fleet's throughput bound, in positions per second. */
 async function measureBound(): Promise<Slope> {
     const points = [];
     for (const count of [allRunners / 4, allRunners / 2, allRunners]) {
--- a/bench/capacity/measureClaims.ts
+++ b/bench/capacity/measureClaims.ts
@@ -12,30 +12,34 @@
 const runMilliseconds = 500;
 const repetitions = 2;
 const tickMilliseconds = 4;
-const usualInterval = 20;
+const defaultAppendIntervalMilliseconds = 20;
 let nextShard = 0;
 
-/** One owner's load. */
+/** The load of one owner. */
 interface OwnerLoad {
     shards: number;
-    /** Claims a second of each shard. */
+    /** Claims per second for each shard. */
     rate: number;
     appendIntervalMilliseconds: number;
 }
 
-/** What one run of an owner showed. */
+/** Results of one run of an owner. */
 interface OwnerRun {
     writesPerSecond: number;
-    /** Milliseconds of processor time a second, the offering of the claims included. */
+    /** Processor time in milliseconds per second, including that of creating the claims. */
     processor: number;
 }
 
-/** Measures the owner of claim shards against the platform's stand-in in another process. */
+/** Measures the owner of claim shards with a platform stand-in in another process. */
 export async function measureClaims(): Promise<Slope[]> {
     const standin = await startStandin("standins/platform/main.ts");
     const store = EtcdStore.create({ address: standin.address, timeoutMilliseconds: 10_000 });
     try {
-        await runOwner(store, { shards: 1, rate: 2_000, appendIntervalMilliseconds: usualInterval });
+        await runOwner(store, {
+            shards: 1,
+            rate: 2_000,
+            appendIntervalMilliseconds: defaultAppendIntervalMilliseconds,
+        });
         return [...await measureRates(store), await measureShards(store), await measureIntervals(store)];
     }
     finally {
@@ -50,23 +54,35 @@
     for (const rate of [250, 500, 1_000, 2_000]) {
         const runs = [];
         for (let repetition = 0; repetition < repetitions; repetition++) {
-            runs.push(await runOwner(store, { shards: 1, rate, appendIntervalMilliseconds: usualInterval }));
+            runs.push(
+                await runOwner(store, {
+                    shards: 1,
+                    rate,
+                    appendIntervalMilliseconds: defaultAppendIntervalMilliseconds,
+                }),
+            );
         }
         processor.push({ x: rate, y: Math.min(...runs.map(run => run.processor)) });
         writes.push({ x: rate, y: Math.max(...runs.map(run => run.writesPerSecond)) });
     }
     const variable = "claim/s";
-    const one = "of one shard";
+    const ofOneShard = "of one shard";
     return [
-        fitSlope({ id: "claims.processor", role, quantity: `processor ${one}`, unit: "ms/s", variable }, processor),
-        fitSlope({ id: "claims.writesByRate", role, quantity: `store writes ${one}`, unit: "1/s", variable }, writes),
+        fitSlope(
+            { id: "claims.processor", role, quantity: `processor ${ofOneShard}`, unit: "ms/s", variable },
+            processor,
+        ),
+        fitSlope(
+            { id: "claims.writesByRate", role, quantity: `store writes ${ofOneShard}`, unit: "1/s", variable },
+            writes,
+        ),
     ];
 }
 
 async function measureShards(store: PlatformStore): Promise<Slope> {
     const points = [];
     for (const shards of [1, 2, 4, 8]) {
-        const load = { shards, rate: 250, appendIntervalMilliseconds: usualInterval };
+        const load = { shards, rate: 250, appendIntervalMilliseconds: defaultAppendIntervalMilliseconds };
         points.push({ x: shards, y: (await runOwner(store, load)).writesPerSecond });
     }
     const quantity = "store writes at 250 claims/s a shard";
@@ -83,33 +99,33 @@
     return fitSlope({ ...description, variable: "append interval in a second" }, points);
 }
 
-/** Lets one owner decide claims at an even rate, those of its shards in turn. */
+/** Sends claims to one owner at a constant rate, distributed round-robin over its shards. */
 async function runOwner(store: PlatformStore, load: OwnerLoad): Promise<OwnerRun> {
     const { shards, rate, appendIntervalMilliseconds } = load;
     let writes = 0;
-    const counting = createCountingStore(store, call => writes += call === "compareAndSwap" ? 1 : 0);
-    const owner = createBenchOwner({ store: counting, appendIntervalMilliseconds });
+    const countingStore = createCountingStore(store, call => writes += call === "compareAndSwap" ? 1 : 0);
+    const owner = createBenchOwner({ store: countingStore, appendIntervalMilliseconds });
     const firstShard = nextShard;
     nextShard += shards;
     let nextClaim = 0;
-    const claimMany = (count: number) =>
+    const sendClaims = (count: number) =>
         Array.from({ length: count }, () => {
             const shard = firstShard + nextClaim++ % shards;
             return owner.claim(shard, [createBenchClaim(shard)]);
         });
-    await Promise.all(claimMany(shards));
+    await Promise.all(sendClaims(shards));
     writes = 0;
     const startedAt = performance.now();
     const spent = await measureProcessor(async () => {
-        const running: Promise<unknown>[] = [];
-        let offered = 0;
+        const pending: Promise<unknown>[] = [];
+        let sent = 0;
         for (let elapsed = 0; elapsed < runMilliseconds; elapsed = performance.now() - startedAt) {
             const due = Math.floor(elapsed / 1_000 * rate * shards);
-            running.push(...claimMany(due - offered));
-            offered = due;
+            pending.push(...sendClaims(due - sent));
+            sent = due;
             await new Promise(resolve => setTimeout(resolve, tickMilliseconds));
         }
-        await Promise.all(running);
+        await Promise.all(pending);
     });
     const seconds = (performance.now() - startedAt) / 1_000;
     owner.close();
--- a/bench/capacity/measureConfiguration.ts
+++ b/bench/capacity/measureConfiguration.ts
@@ -14,15 +14,21 @@
 
 const role = "configuration";
 const { customers, models, runners } = letterSize;
-const parts = [0.25, 0.5, 1];
+const sizeFactors = [0.25, 0.5, 1];
 const repetitions = 5;
 const reads = 10;
-const heldVersions = 12;
+const versionCopies = 12;
 
-/** Measures the text, its parse, its memory and a read of it from the store, by customers, runners and bytes. */
+/** Measures the size, parse time, memory and store reads of a configuration by customers, runners and size of the text. */
 export async function measureConfiguration(): Promise<Slope[]> {
-    const byCustomers = parts.map(part => ({ x: part * customers, size: { customers: part * customers, runners: 0 } }));
-    const byRunners = parts.map(part => ({ x: part * runners, size: { customers: 0, runners: part * runners } }));
+    const byCustomers = sizeFactors.map(sizeFactor => ({
+        x: sizeFactor * customers,
+        size: { customers: sizeFactor * customers, runners: 0 },
+    }));
+    const byRunners = sizeFactors.map(sizeFactor => ({
+        x: sizeFactor * runners,
+        size: { customers: 0, runners: sizeFactor * runners },
+    }));
     for (let repetition = 0; repetition < repetitions; repetition++) {
         parse(createText({ customers, runners }));
     }
@@ -50,7 +56,7 @@
         const bytesInUse = measureHeap(() => {
             const configuration = parse(text);
             return { configuration, customers: CustomerIndex.create(configuration) };
-        }, heldVersions);
+        }, versionCopies);
         heap.push({ x, y: bytesInUse });
     }
     const id = `configuration.${variable}`;
@@ -62,15 +68,15 @@
     ];
 }
 
-/** Measures what one backstop read of the store costs the reading node. */
+/** Measures the cost of one periodic read of the store for the node that reads. */
 async function measureReads(): Promise<Slope[]> {
     const standin = await startStandin("standins/platform/main.ts");
     const store = EtcdStore.create({ address: standin.address, timeoutMilliseconds: 5_000 });
     const processor = [];
     const bytes = [];
     let revision = 0;
-    for (const part of parts) {
-        const text = createText({ customers: part * customers, runners: part * runners });
+    for (const sizeFactor of sizeFactors) {
+        const text = createText({ customers: sizeFactor * customers, runners: sizeFactor * runners });
         const swap = await store.compareAndSwap(StoredConfiguration.key, revision, encode(text));
         revision = swap.unwrap().revision ?? 0;
         await store.get(StoredConfiguration.key);
@@ -81,12 +87,12 @@
         }, repetitions);
         const x = Buffer.byteLength(text) / 1_024;
         processor.push({ x, y: spent / 1_000 / reads });
-        const moved = await countWireBytes(standin.address, async address => {
-            const relayed = EtcdStore.create({ address, timeoutMilliseconds: 5_000 });
-            await relayed.get(StoredConfiguration.key);
-            await relayed.close();
+        const transferredBytes = await countWireBytes(standin.address, async address => {
+            const proxied = EtcdStore.create({ address, timeoutMilliseconds: 5_000 });
+            await proxied.get(StoredConfiguration.key);
+            await proxied.close();
         });
-        bytes.push({ x, y: moved / 1_024 });
+        bytes.push({ x, y: transferredBytes / 1_024 });
     }
     await store.close();
     await standin.stop();
@@ -100,7 +106,7 @@
     ];
 }
 
-/** Writes a configuration with one entry a line, as operators keep long lists. */
+/** Formats a configuration with one entry per line, as operators write long lists. */
 function createText(size: { customers: number; runners: number; }): string {
     const sections = Object.entries(createSizedConfiguration({ ...size, models })).map(([name, section]) => {
         const isList = Array.isArray(section);
--- a/bench/capacity/measureCustomers.ts
+++ b/bench/capacity/measureCustomers.ts
@@ -17,26 +17,26 @@
 const role = "customer limits and admission";
 const { customers, models, runners } = letterSize;
 const customerCounts = [customers / 4, customers / 2, customers];
-const places = 64;
+const gateCapacity = 64;
 const requests = 10_000;
 const decisions = 200_000;
-const demandReadings = 20;
-/** Records of a request above nine nodes. */
+const demandReports = 20;
+/** Demand records per gossip request in a cluster of more than nine nodes. */
 const demandRecords = 4;
-const betweenReadingsMilliseconds = 1_000;
-/** A limit at which one request counts for minutes. */
+const reportIntervalMilliseconds = 1_000;
+/** A limit so low that one request counts towards the demand for minutes. */
 const slowRequestsPerSecond = 0.1;
 const repetitions = 3;
-const placeLookups = 500;
+const capacityLookups = 500;
 
-/** Measures the limits, the queue and the working out of a gate's places. */
+/** Measures the customer limits, the admission queue and the computation of a gate's capacity. */
 export async function measureCustomers(): Promise<Slope[]> {
-    return [...await measureLimits(), ...await measureQueue(), ...await measurePlaces()];
+    return [...await measureLimits(), ...await measureQueue(), ...await measureCapacity()];
 }
 
 async function measureLimits(): Promise<Slope[]> {
     const heap = [];
-    const taken = [];
+    const decision = [];
     const demand = [];
     await measureReport(createNames(customers));
     for (const count of customerCounts) {
@@ -50,31 +50,31 @@
                 limits.takeRequest(names[index % count]!, 0);
             }
         }, repetitions);
-        taken.push({ x: count, y: spent / decisions });
+        decision.push({ x: count, y: spent / decisions });
         demand.push({ x: count, y: await measureReport(names) });
     }
     const variable = "customer";
     return [
         fitSlope({ id: "customers.heap", role, quantity: "limits", unit: "B", variable }, heap),
-        fitSlope({ id: "customers.take", role, quantity: "decision of the limit", unit: "us", variable }, taken),
+        fitSlope({ id: "customers.take", role, quantity: "decision of the limit", unit: "us", variable }, decision),
         fitSlope({ id: "customers.demand", role, quantity: "demand of a message", unit: "us", variable }, demand),
     ];
 }
 
-/** Measures a report of the demand, in microseconds; the time goes on between two, as a report may be kept for a while. */
+/** Measures a report of the demand, in microseconds. Time advances between two reports, since a report may be cached. */
 async function measureReport(names: readonly string[]): Promise<number> {
     const clock = VirtualClock.create();
     const limits = createLimits(createConfiguration(names, slowRequestsPerSecond), clock, names);
     const spent = await measureProcessor(async () => {
-        for (let reading = 0; reading < demandReadings; reading++) {
-            await clock.runUntil(clock.getMonotonicTime() + betweenReadingsMilliseconds);
+        for (let report = 0; report < demandReports; report++) {
+            await clock.runUntil(clock.getMonotonicTime() + reportIntervalMilliseconds);
             limits.getDemand(demandRecords);
         }
     }, repetitions);
-    return spent / demandReadings;
+    return spent / demandReports;
 }
 
-/** Admits and releases requests while each customer has one that waits. */
+/** Measures the admission and release of requests while each customer has a queued request. */
 async function measureQueue(): Promise<Slope[]> {
     const processor = [];
     const lookups = [];
@@ -85,16 +85,16 @@
         const { admission, tickets, counts, request } = createFullAdmission(names);
         await undefined;
         await undefined;
-        const run = async (): Promise<void> => {
+        const admitRequests = async (): Promise<void> => {
             for (let index = 0; index < requests; index++) {
                 request(index);
                 await undefined;
                 tickets.shift()?.release({ tokens: 100 });
             }
         };
-        await run();
+        await admitRequests();
         counts.lookups = 0;
-        processor.push({ x: count, y: await measureProcessor(run, repetitions) / requests });
+        processor.push({ x: count, y: await measureProcessor(admitRequests, repetitions) / requests });
         lookups.push({ x: count, y: counts.lookups / requests / repetitions });
         admission.startDraining();
     }
@@ -107,7 +107,7 @@
     ];
 }
 
-/** Creates an admission whose places are taken and where one request of each customer waits. */
+/** Creates an admission whose gate is full and that queues one request of each customer. */
 function createFullAdmission(names: readonly string[]) {
     const clock = VirtualClock.create();
     const configuration = createConfiguration(names);
@@ -118,22 +118,22 @@
         random: createSeededRandom(1),
         getConcurrencyLimit: () => {
             counts.lookups += 1;
-            return places;
+            return gateCapacity;
         },
         customerLimits: createLimits(configuration, clock, []),
     });
     const tickets: AdmissionTicket[] = [];
     const request = (index: number): void => {
-        const asked = { customer: names[index % names.length]!, gate: "model", cost: 100 };
-        void admission.requestAdmission(asked).then(result => result.ok && tickets.push(result.val));
+        const admissionRequest = { customer: names[index % names.length]!, gate: "model", cost: 100 };
+        void admission.requestAdmission(admissionRequest).then(result => result.ok && tickets.push(result.val));
     };
-    for (let index = 0; index < places + names.length; index++) {
+    for (let index = 0; index < gateCapacity + names.length; index++) {
         request(index);
     }
     return { admission, tickets, counts, request };
 }
 
-async function measurePlaces(): Promise<Slope[]> {
+async function measureCapacity(): Promise<Slope[]> {
     const points = [];
     for (const count of [runners / 4, runners / 2, runners]) {
         const { configuration, states } = createFleet(count, models, createSeededRandom(1));
@@ -141,11 +141,11 @@
             getGateCapacity(configuration, `${modelGatePrefix}model0`, name => states.get(name));
         lookup();
         const spent = await measureProcessor(() => {
-            for (let repetition = 0; repetition < placeLookups; repetition++) {
+            for (let repetition = 0; repetition < capacityLookups; repetition++) {
                 lookup();
             }
         }, repetitions);
-        points.push({ x: count, y: spent / placeLookups });
+        points.push({ x: count, y: spent / capacityLookups });
     }
     return [
         fitSlope(
@@ -155,7 +155,7 @@
     ];
 }
 
-/** Creates limits under which each of the named customers has sent a request. */
+/** Creates customer limits that have counted one request of each of the named customers. */
 function createLimits(configuration: Configuration, clock: VirtualClock, names: readonly string[]): CustomerLimits {
     const limits = CustomerLimits.create({
         getConfiguration: () => configuration,
