--- a/bench/capacity/measureDataPath.ts
+++ b/bench/capacity/measureDataPath.ts
@@ -12,17 +12,20 @@
 const maximumTokens = 32;
 const prompt = "Explain the deductions of this payslip to the family in plain words please";
 const replicas = 2;
-/** By then all requests run, and none has ended. */
-const untilMemoryIsRead = 1_500;
+/** Delay after which all requests are running and none has ended. */
+const memoryReadDelayMilliseconds = 1_500;
 const fastStepMilliseconds = 0.001;
 const slowStepMilliseconds = 25;
 const layers = 24;
 const layersPerStage = layers / letterSize.stages;
 
-/** Measures one node from its sources before stand-ins: processor time a hop, and memory a running request. */
+/**
+ * Measures one node that runs from source in front of stand-ins: its processor time per hop, and its memory per running
+ * request.
+ */
 export async function measureDataPath(): Promise<{ slopes: Slope[]; figures: PathFigures; }> {
     const { slopes, figures } = await withDeployment(fastStepMilliseconds, measureHops);
-    // The inspector is there to collect the node's garbage.
+    // The inspector is needed to collect the garbage of the node.
     const { NODE_OPTIONS } = process.env;
     process.env["NODE_OPTIONS"] = "--inspect=127.0.0.1:0";
     try {
@@ -96,13 +99,13 @@
     return { slopes: [fitSlope(slope, points)], figures: { ...memory, callers } };
 }
 
-/** Reads the node's memory while so many requests run, right after a collection of its garbage. */
+/** Measures the node's memory at several numbers of running requests, each time after a garbage collection. */
 async function measureMemory(deployment: LocalDeployment): Promise<Slope> {
     const node = deployment.nodes[0]!;
     const points = [];
     for (const running of [75, 150, 300]) {
         const requests = runRequests(deployment, running, running);
-        await new Promise(resolve => setTimeout(resolve, untilMemoryIsRead));
+        await new Promise(resolve => setTimeout(resolve, memoryReadDelayMilliseconds));
         await collectNodeGarbage(node.process.getLines());
         points.push({ x: running, y: (await readNodeMemory(node.adminAddress)).heapMebibytes * 1_024 });
         await requests;
@@ -111,13 +114,13 @@
     return fitSlope(description, points);
 }
 
-/** Runs requests by so many callers at once and returns the tokens of all. */
+/** Runs requests from concurrent callers and returns the number of tokens of all responses. */
 async function runRequests(deployment: LocalDeployment, callers: number, requests: number): Promise<number> {
-    let next = 0;
+    let startedRequests = 0;
     let tokens = 0;
     const runCaller = async () => {
-        while (next < requests) {
-            next += 1;
+        while (startedRequests < requests) {
+            startedRequests += 1;
             const answer = await sendChat({
                 address: deployment.nodes[0]!.callerAddress,
                 apiKey: deployment.apiKey,
@@ -127,7 +130,7 @@
                 isStreamed: true,
             });
             if (!answer.isWhole) {
-                throw new Error(`A request was not answered whole: ${answer.status} ${answer.errorCode}.`);
+                throw new Error(`A response was incomplete: ${answer.status} ${answer.errorCode}.`);
             }
             tokens += answer.text.trim().split(" ").length;
         }
--- a/bench/capacity/measureHeap.ts
+++ b/bench/capacity/measureHeap.ts
@@ -1,20 +1,21 @@
 import { getHeapBytes } from "./getHeapBytes.ts";
 
-const held: unknown[] = [];
+const retained: unknown[] = [];
 
 /**
- * Measures the memory that one of several like things holds.
- * @param create - Creates one and returns it.
- * @param copies - How many are held at the same time; more for small things, as the heap moves by some 100 KB of itself.
- * @returns Bytes for each.
+ * Measures the heap memory that an object retains.
+ * @param create - Creates the object and returns it.
+ * @param copies - Number of copies to measure together. Small objects need more, since the size of the heap varies by
+ * about 100 KB on its own.
+ * @returns Bytes per copy.
  */
 export function measureHeap(create: () => unknown, copies: number): number {
-    held.push(create());
+    retained.push(create());
     const before = getHeapBytes();
     for (let copy = 0; copy < copies; copy++) {
-        held.push(create());
+        retained.push(create());
     }
     const bytes = getHeapBytes() - before;
-    held.length = 0;
+    retained.length = 0;
     return bytes / copies;
 }
--- a/bench/capacity/measureIdleNode.ts
+++ b/bench/capacity/measureIdleNode.ts
@@ -10,25 +10,25 @@
 const measuredMilliseconds = 5_000;
 
 /**
- * Measures a built node that serves no request: without a configuration, and with one of the letter's size. Its runners
- * are written as document endpoints, which a node does not observe: one node alone would observe all of them.
- * There is no model, as layers that no engine holds would be planned for in every round.
+ * Measures a built node that serves no requests, first without a configuration and then with one of the design size. The
+ * runners are configured as document endpoints, which nodes don't observe, since a single node would have to observe all
+ * engines. There are no models, since the node would plan in every round for layers that no engine serves.
  */
 export async function measureIdleNode(): Promise<IdleNode[]> {
     const deployment = await LocalDeployment.create({ nodes: 1, engines: [], documents: 1, isBuilt: true });
     try {
         const start = await readNode(deployment, "at start, no configuration", measuredMilliseconds);
         await deployment.apply(writeLargeFile(deployment));
-        const large = await readNode(deployment, "2,000 customers, 1,200 endpoints", measuredMilliseconds);
+        const configured = await readNode(deployment, "2,000 customers, 1,200 endpoints", measuredMilliseconds);
         await deployment.stop();
-        return [start, large];
+        return [start, configured];
     }
     finally {
         await deployment.kill();
     }
 }
 
-/** Writes the text without indentation: indented by four it is more than the store holds. */
+/** Writes the configuration without indentation, since indented by four it exceeds the size limit of the store. */
 function writeLargeFile(deployment: LocalDeployment): string {
     const file = deployment.writeConfiguration(configuration => Object.assign(configuration, createLargeParts()));
     const json = readFileSync(file, "utf8").replace(/^\/\/.*$/m, "");
@@ -46,21 +46,22 @@
     return { customers, dataCentres, links, endpoints: documents, models: {}, services: {} };
 }
 
-async function readNode(deployment: LocalDeployment, state: string, milliseconds: number): Promise<IdleNode> {
+async function readNode(deployment: LocalDeployment, state: string, durationMilliseconds: number): Promise<IdleNode> {
     const { adminAddress } = deployment.nodes[0]!;
     await new Promise(resolve => setTimeout(resolve, settleMilliseconds));
     const before = await readProcessorTime(adminAddress);
-    await new Promise(resolve => setTimeout(resolve, milliseconds));
+    await new Promise(resolve => setTimeout(resolve, durationMilliseconds));
     const after = await readProcessorTime(adminAddress);
     return {
         state,
         ...await readNodeMemory(adminAddress),
         filesMebibytes: readFileMebibytes(deployment.nodes[0]!.process.getProcessId()),
-        processorMillisecondsPerSecond: (after.user + after.system - before.user - before.system) / milliseconds,
+        processorMillisecondsPerSecond: (after.user + after.system - before.user - before.system)
+            / durationMilliseconds,
     };
 }
 
-/** Reads how much of a process's resident memory are pages of files, here those of the executable. */
+/** Reads the resident memory of a process that is mapped from files, mainly from the executable. */
 function readFileMebibytes(processId: number): number {
     const status = readFileSync(`/proc/${processId}/status`, "utf8");
     return Number(/^RssFile:\s+(\d+) kB$/m.exec(status)?.[1] ?? Number.NaN) / 1_024;
--- a/bench/capacity/measureObservation.ts
+++ b/bench/capacity/measureObservation.ts
@@ -14,12 +14,12 @@
 const role = "endpoint observer";
 const { nodes, runners } = letterSize;
 const repetitions = 3;
-const keptRounds = 50;
+const cachedRounds = 50;
 const runnerCounts = [runners / 4, runners / 2, runners];
-/** host:port where nobody listens. */
+/** host:port on which no process listens. */
 const closedAddress = "127.0.0.1:9";
 
-/** Measures the calls to engines, the assignment of who observes, and the records of the other observers. */
+/** Measures the status calls to engines, the assignment of observers, and the records of the other observers. */
 export async function measureObservation(): Promise<Slope[]> {
     return [...await measureCalls(), ...await measureDuty(), ...await measureRecords(), ...await measureRecordQueue()];
 }
@@ -28,18 +28,18 @@
     const engine = await startStandin("standins/engine/main.ts", [
         ...["--name", "runner-1", "--layers", "model-1:0-8", "--model-layers", "model-1:32"],
     ]);
-    const answered = connect(engine.address);
-    const refused = connect(closedAddress);
-    await repeat(1_000, () => answered.getStatus());
+    const reachable = connect(engine.address);
+    const unreachable = connect(closedAddress);
+    await repeat(1_000, () => reachable.getStatus());
     const answeredPoints = [];
     for (const calls of [250, 500, 1_000]) {
-        const spent = await measureProcessor(() => repeat(calls, () => answered.getStatus()), repetitions);
+        const spent = await measureProcessor(() => repeat(calls, () => reachable.getStatus()), repetitions);
         answeredPoints.push({ x: calls, y: spent });
     }
     const refusedPoints = [];
     const callRefused = async (): Promise<void> => {
-        await refused.getStatus();
-        await refused.isAnswering();
+        await unreachable.getStatus();
+        await unreachable.isAnswering();
     };
     await repeat(500, callRefused);
     for (const calls of [250, 500, 1_000]) {
@@ -55,8 +55,8 @@
         });
         bytePoints.push({ x: calls, y: bytes });
     }
-    await answered.close();
-    await refused.close();
+    await reachable.close();
+    await unreachable.close();
     await engine.stop();
     const variable = "call";
     return [
@@ -70,12 +70,12 @@
 }
 
 /**
- * Lets a node that owns no duty go through its rounds: after a change of the members, when who observes is worked out
- * anew, and then with what is kept.
+ * Measures the rounds of a node that observes no engine: after a change of the members, when the observers are assigned
+ * again, and with the cached assignment.
  */
 async function measureDuty(): Promise<Slope[]> {
     const points = [];
-    const keptPoints = [];
+    const cachedPoints = [];
     for (const members of [nodes / 10, nodes / 4, nodes / 2, nodes]) {
         const { service, runRound } = await createObservedService(runners, members);
         const runChangedRound = (): void => {
@@ -84,15 +84,15 @@
         };
         runChangedRound();
         points.push({ x: members, y: await measureProcessor(runChangedRound, repetitions) / 1_000 });
-        const spent = await measureProcessor(() => repeat(keptRounds, runRound), repetitions);
-        keptPoints.push({ x: members, y: spent / 1_000 / keptRounds });
+        const spent = await measureProcessor(() => repeat(cachedRounds, runRound), repetitions);
+        cachedPoints.push({ x: members, y: spent / 1_000 / cachedRounds });
         await service.close();
     }
     const variable = "node";
     const unit = "ms";
     return [
         fitSlope({ id: "observer.duty", role, quantity: "round after a change of members", unit, variable }, points),
-        fitSlope({ id: "observer.round", role, quantity: "round, duty kept", unit, variable }, keptPoints),
+        fitSlope({ id: "observer.round", role, quantity: "round, duty kept", unit, variable }, cachedPoints),
     ];
 }
 
@@ -109,15 +109,15 @@
     const heap = [];
     for (const count of runnerCounts) {
         const before = getHeapBytes();
-        const held = [];
+        const services = [];
         for (let copy = 0; copy < 4; copy++) {
-            const { service: sized } = await createObservedService(count, 3);
-            sized.applyRecords(createRecords(count, Date.now()));
-            held.push(sized);
+            const { service: sizedService } = await createObservedService(count, 3);
+            sizedService.applyRecords(createRecords(count, Date.now()));
+            services.push(sizedService);
         }
-        heap.push({ x: count, y: (getHeapBytes() - before) / held.length });
-        for (const sized of held) {
-            await sized.close();
+        heap.push({ x: count, y: (getHeapBytes() - before) / services.length });
+        for (const sizedService of services) {
+            await sizedService.close();
         }
     }
     return [
@@ -129,7 +129,7 @@
     ];
 }
 
-/** Measures how the records for one message are picked among those that wait. */
+/** Measures the selection of the records for one message from the queued records. */
 async function measureRecordQueue(): Promise<Slope[]> {
     const points = [];
     for (const count of runnerCounts) {
--- a/bench/capacity/measureOrders.ts
+++ b/bench/capacity/measureOrders.ts
@@ -17,38 +17,46 @@
 const startMilliseconds = 5_000;
 const runSeconds = 30;
 
-/** What one run of the holder showed. */
+/** Results of one run of the holder of the order lease. */
 interface OrderRun {
-    /** Milliseconds of processor time a round; a round comes each second. */
+    /** Processor time per round in milliseconds; there is one round per second. */
     processor: number;
+    /** Calls to the store per second. */
     storeCalls: number;
+    /** Status calls to engines per second. */
     statusCalls: number;
 }
 
-/** Measures the holder of the right to order engines over virtual time, with and without a layer that lacks a holder. */
+/**
+ * Measures the holder of the lease for ordering engines to load layers over virtual time, with and without a model whose
+ * layers lack reachable engines.
+ */
 export async function measureOrders(): Promise<Slope[]> {
-    const steady = [];
-    const lacking = [];
+    const completeRounds = [];
+    const incompleteRounds = [];
     const storeCalls = [];
     const statusCalls = [];
     await run(createConfiguration(runners), false);
     for (const count of [runners / 4, runners / 2, runners]) {
         const configuration = createConfiguration(count);
-        const quiet = await run(configuration, false);
-        const busy = await run(configuration, true);
-        steady.push({ x: count, y: quiet.processor });
-        storeCalls.push({ x: count, y: quiet.storeCalls });
-        lacking.push({ x: count, y: busy.processor });
-        statusCalls.push({ x: count, y: busy.statusCalls });
+        const complete = await run(configuration, false);
+        const incomplete = await run(configuration, true);
+        completeRounds.push({ x: count, y: complete.processor });
+        storeCalls.push({ x: count, y: complete.storeCalls });
+        incompleteRounds.push({ x: count, y: incomplete.processor });
+        statusCalls.push({ x: count, y: incomplete.statusCalls });
     }
     const variable = "engine";
-    const lack = "a model lacks layers";
+    const lacksLayers = "a model lacks layers";
     return [
-        fitSlope({ id: "orders.round", role, quantity: "round", unit: "ms", variable }, steady),
+        fitSlope({ id: "orders.round", role, quantity: "round", unit: "ms", variable }, completeRounds),
         fitSlope({ id: "orders.store", role, quantity: "store calls", unit: "1/s", variable }, storeCalls),
-        fitSlope({ id: "orders.lackRound", role, quantity: `round, ${lack}`, unit: "ms", variable }, lacking),
         fitSlope(
-            { id: "orders.lackCalls", role, quantity: `status calls, ${lack}`, unit: "1/s", variable },
+            { id: "orders.lackRound", role, quantity: `round, ${lacksLayers}`, unit: "ms", variable },
+            incompleteRounds,
+        ),
+        fitSlope(
+            { id: "orders.lackCalls", role, quantity: `status calls, ${lacksLayers}`, unit: "1/s", variable },
             statusCalls,
         ),
     ];
--- a/bench/capacity/measurePeers.ts
+++ b/bench/capacity/measurePeers.ts
@@ -20,12 +20,12 @@
 const sizes = [30, 100, 340];
 const fanOut = 3;
 const intervalMilliseconds = 500;
-/** So many of the bench's endpoint records take about the default payload budget, as in bench/membership.ts. */
+/** Number of endpoint records that take about the default payload budget, as in bench/membership.ts. */
 const payloadRecords = 6;
 const textFetches = 5;
 const verdict = { outcome: "granted", claimant: "018f9c1e-7b5a-7c31-9d5e-0a1b2c3d4e5f", nodeId: "entry-120" };
 
-/** Measures the membership by its members, and the claim and configuration calls between two nodes. */
+/** Measures the membership by number of members, and the claim and configuration calls between two nodes. */
 export async function measurePeers(): Promise<{ slopes: Slope[]; figures: PeerFigures; }> {
     const call = await measureCallCost();
     const overheadBytes = call.warmBytes - call.messageBytes;
@@ -35,7 +35,7 @@
     for (const members of sizes) {
         const cost = await measureSteady(members);
         bytes.push({ x: members, y: cost.messageBytes + cost.messages / 2 * overheadBytes });
-        // A message's processor time at one end is a quarter of an exchange at both.
+        // An exchange has two messages, each with a sender and a receiver, so one end of one message takes a quarter.
         processor.push({ x: members, y: cost.processor + cost.messages / 4 * call.warmCpuMicroseconds / 1_000 });
         heap.push({ x: members, y: measureHeap(() => createView(members), 20) });
     }
@@ -63,7 +63,7 @@
     return view;
 }
 
-/** Gets what one node spends in a second, both directions counted, without the calls themselves. */
+/** Measures the cost of gossip per node and second in both directions, without that of the HTTP/2 calls. */
 async function measureSteady(size: number) {
     const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, payloadRecords, size + fanOut);
     const rounds = Math.max(4, Math.floor(10_000 / size / fanOut));
@@ -103,9 +103,9 @@
     const bytePoints = [];
     for (const calls of [50, 100, 200]) {
         const bytes = await countWireBytes(server.getAddress(), async address => {
-            const relayed = PeerConnections.create({ secret, log });
-            await repeat(calls, () => claim(relayed, address));
-            relayed.close();
+            const proxied = PeerConnections.create({ secret, log });
+            await repeat(calls, () => claim(proxied, address));
+            proxied.close();
         });
         bytePoints.push({ x: calls, y: bytes });
     }
--- a/bench/capacity/measureProcessor.ts
+++ b/bench/capacity/measureProcessor.ts
@@ -1,16 +1,16 @@
 /**
- * Measures the processor time of this process while something runs.
- * @param run - What to measure.
- * @param repetitions - How often it is run; the least time counts, since the compiler and other programs only add.
- * @returns User and system time of one run in microseconds, that of the garbage collector's threads included.
+ * Measures the processor time that this process takes to run a function.
+ * @param run - The function.
+ * @param repetitions - Number of runs. The shortest time is returned, since the compiler and other programs only add to it.
+ * @returns User and system time of one run in microseconds, including that of the garbage collector's threads.
  */
 export async function measureProcessor(run: () => unknown, repetitions = 1): Promise<number> {
-    let least = Infinity;
+    let shortest = Infinity;
     for (let repetition = 0; repetition < repetitions; repetition++) {
         const before = process.cpuUsage();
         await run();
         const { user, system } = process.cpuUsage(before);
-        least = Math.min(least, user + system);
+        shortest = Math.min(shortest, user + system);
     }
-    return least;
+    return shortest;
 }
--- a/bench/capacity/measureReportSpread.ts
+++ b/bench/capacity/measureReportSpread.ts
@@ -6,38 +6,44 @@
 import type { ReportSpread } from "./reportSpread.ts";
 
 const roundMilliseconds = 500;
-/** Sizes: today's, and parts of the letter's. Up to nine nodes contact all others in a round. */
+/** A small deployment, fractions of the design size and the full design size. Up to nine nodes contact all their peers. */
 const sizes = [
     { nodeCount: 9, engines: 30, fanOut: 8 },
     { nodeCount: 34, engines: 120, fanOut: 3 },
     { nodeCount: 102, engines: 360, fanOut: 3 },
     { nodeCount: letterSize.nodes, engines: letterSize.runners, fanOut: 3 },
 ];
-/** All nodes start at once; or all have long known every engine; or so, and a tenth of the engines is lost at the start. */
+/**
+ * What nodes know at the start: nothing, as all nodes start at the same time; every engine; or every engine, of which a
+ * tenth becomes unreachable at the start.
+ */
 const states = ["none known", "all known", "a tenth lost"] as const;
 const cases = states.flatMap(before => sizes.map(size => ({ ...size, before })));
-const lostPart = 0.1;
+const lostFraction = 0.1;
 const requestBytes = 128;
 const responseBytes = 256;
-const observers = 3;
-/** An observer tells an engine's state this often where nothing changes, times the stretch. */
-const unstretchedRefreshMilliseconds = 5_000;
+const observersPerEngine = 3;
+/** Interval at which an observer repeats an unchanged state in a cluster of up to `unstretchedNodes` nodes. */
+const baseRefreshMilliseconds = 5_000;
 const warmupMilliseconds = 10_000;
-const limitMilliseconds = 16_000;
+const maximumMilliseconds = 16_000;
 const seed = 20_260_729;
 
-/** One node: the records that it passes on, and when what it knows of each engine was seen. */
-interface SpreadNode {
+/** A simulated node. */
+interface ReportNode {
+    /** Records that the node has received and forwards to its peers. */
     reports: EndpointReports;
     rotation: PeerRotation;
+    /** Time at which the node's latest record of each engine was observed. */
     seenAt: Map<string, number>;
+    /** If the node knows that engine 0 is leaving. */
     knowsLeaving: boolean;
 }
 
 /**
- * Runs the queue of endpoint records of every node against the budgets of the gossip messages, with calls that take no
- * time: how old is what a node knows, and how long until all have heard that an engine leaves. Engines have idle
- * queues, so the observers tell nothing but their refreshes.
+ * Simulates the gossip of endpoint records with the byte budgets of the messages and with calls that take no time.
+ * Measures how old the records of the nodes are, and how long it takes until all nodes know that an engine is leaving.
+ * The queues of the engines are idle, so that observers only send periodic refreshes and these changes of state.
  */
 export function measureReportSpread(): ReportSpread[] {
     return cases.map(measureSpread);
@@ -45,41 +51,41 @@
 
 function measureSpread({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportSpread {
     const random = createSeededRandom(seed);
-    const refreshMilliseconds = unstretchedRefreshMilliseconds * Math.max(1, nodeCount / unstretchedNodes);
-    const nodes: SpreadNode[] = Array.from({ length: nodeCount }, () => ({
+    const refreshMilliseconds = baseRefreshMilliseconds * Math.max(1, nodeCount / unstretchedNodes);
+    const nodes: ReportNode[] = Array.from({ length: nodeCount }, () => ({
         reports: EndpointReports.create(() => nodeCount),
         rotation: PeerRotation.create(random),
         seenAt: new Map(),
         knowsLeaving: false,
     }));
-    const told = Array.from(
-        { length: engines * observers },
+    const lastReportedAt = Array.from(
+        { length: engines * observersPerEngine },
         () => before === "none known" ? -refreshMilliseconds : random() * refreshMilliseconds - refreshMilliseconds,
     );
     if (before !== "none known") {
-        makeKnown(nodes, engines);
+        addKnownReports(nodes, engines);
     }
-    const firstLost = before === "a tenth lost" ? Math.round(engines * (1 - lostPart)) : engines;
-    told.fill(-refreshMilliseconds, firstLost * observers);
+    const firstLostEngine = before === "a tenth lost" ? Math.round(engines * (1 - lostFraction)) : engines;
+    lastReportedAt.fill(-refreshMilliseconds, firstLostEngine * observersPerEngine);
     const names = nodes.map((_, index) => String(index));
-    const heardAt: number[] = [];
+    const knownAt: number[] = [];
     let now = 0;
-    for (; now < warmupMilliseconds + limitMilliseconds && heardAt.length < nodeCount; now += roundMilliseconds) {
+    for (; now < warmupMilliseconds + maximumMilliseconds && knownAt.length < nodeCount; now += roundMilliseconds) {
         if (now === warmupMilliseconds) {
-            told.fill(now - refreshMilliseconds, 0, observers);
+            lastReportedAt.fill(now - refreshMilliseconds, 0, observersPerEngine);
         }
-        for (const [index, lastTold] of told.entries()) {
-            const engine = Math.floor(index / observers);
-            if (now - lastTold >= refreshMilliseconds) {
-                told[index] = now;
+        for (const [index, reportedAt] of lastReportedAt.entries()) {
+            const engine = Math.floor(index / observersPerEngine);
+            if (now - reportedAt >= refreshMilliseconds) {
+                lastReportedAt[index] = now;
                 const servingState = engine === 0 && now >= warmupMilliseconds ? "leaving" : "serving";
-                const state = engine >= firstLost ? "unreachable" : servingState;
-                take(nodes[(index * 7) % nodeCount]!, createReport(engine, index, now, state));
+                const state = engine >= firstLostEngine ? "unreachable" : servingState;
+                applyReport(nodes[(index * 7) % nodeCount]!, createReport(engine, index, now, state));
             }
         }
         runRound(nodes, names, fanOut);
-        while (now >= warmupMilliseconds && heardAt.length < nodes.filter(node => node.knowsLeaving).length) {
-            heardAt.push(now + roundMilliseconds - warmupMilliseconds);
+        while (now >= warmupMilliseconds && knownAt.length < nodes.filter(node => node.knowsLeaving).length) {
+            knownAt.push(now + roundMilliseconds - warmupMilliseconds);
         }
     }
     const ages = nodes.flatMap(node => [...node.seenAt.values()].map(seenAt => now - seenAt));
@@ -89,46 +95,49 @@
         before,
         known: ages.length / nodeCount / engines,
         meanAgeSeconds: ages.reduce((sum, age) => sum + age, 0) / ages.length / 1_000,
-        leavingKnownSeconds: [0.5, 0.95, 1].map(part => heardAt[Math.ceil(part * nodeCount) - 1])
-            .map(heard => heard === undefined ? undefined : heard / 1_000),
+        leavingKnownSeconds: [0.5, 0.95, 1].map(part => knownAt[Math.ceil(part * nodeCount) - 1])
+            .map(milliseconds => milliseconds === undefined ? undefined : milliseconds / 1_000),
     };
 }
 
-/** Gives every node a record of every engine that no longer travels; its time is before the run and counts for no age. */
-function makeKnown(nodes: readonly SpreadNode[], engines: number): void {
+/**
+ * Adds a record of every engine to every node and uses up its transmissions. The records are older than the run and are
+ * left out of the mean age.
+ */
+function addKnownReports(nodes: readonly ReportNode[], engines: number): void {
     for (const { reports } of nodes) {
         for (let engine = 0; engine < engines; engine++) {
             reports.add({ ...createReport(engine, 0, 0, "serving"), sequence: -1n });
         }
         while (reports.collect(Infinity).length > 0) {
-            // Each collection takes one of the transmissions.
+            // Each collection uses up one transmission of each record.
         }
     }
 }
 
-function runRound(nodes: readonly SpreadNode[], names: readonly string[], fanOut: number): void {
+function runRound(nodes: readonly ReportNode[], names: readonly string[], fanOut: number): void {
     for (const [index, node] of nodes.entries()) {
         const peers = names.filter(name => name !== String(index));
         for (const name of node.rotation.take(peers, fanOut)) {
             const peer = nodes[Number(name)]!;
             for (const report of node.reports.collect(requestBytes)) {
-                take(peer, report);
+                applyReport(peer, report);
             }
             for (const report of peer.reports.collect(responseBytes)) {
-                take(node, report);
+                applyReport(node, report);
             }
         }
     }
 }
 
-function take(node: SpreadNode, report: EndpointReport): void {
+function applyReport(node: ReportNode, report: EndpointReport): void {
     if (node.reports.add(report)) {
         node.seenAt.set(report.endpoint, Math.floor(Number(report.sequence) / 1_000));
         node.knowsLeaving ||= report.state === "leaving";
     }
 }
 
-/** The sequence is the time of the observation in microseconds, so that those of several observers differ. */
+/** Creates a record whose sequence is the observation time in microseconds plus an offset that differs by observer. */
 function createReport(engine: number, observer: number, now: number, state: string): EndpointReport {
     return {
         endpoint: `runner-${engine}`,
--- a/bench/capacity/measureStatus.ts
+++ b/bench/capacity/measureStatus.ts
@@ -15,15 +15,15 @@
 const repetitions = 20;
 const states = ["serving", "leaving", "unreachable"];
 
-/** Measures what a node answers to operators: its status, and its metrics. */
+/** Measures the responses of a node to operators: its status and its metrics. */
 export async function measureStatus(): Promise<Slope[]> {
     const statusBytes = [];
     const statusTime = [];
     const metricBytes = [];
     const metricTime = [];
-    for (const part of [0.25, 0.5, 1]) {
-        const runners = part * letterSize.runners;
-        const createStatus = prepareStatus(Math.round(part * letterSize.nodes), runners);
+    for (const sizeFactor of [0.25, 0.5, 1]) {
+        const runners = sizeFactor * letterSize.runners;
+        const createStatus = prepareStatus(Math.round(sizeFactor * letterSize.nodes), runners);
         createStatus();
         statusBytes.push({ x: runners, y: createStatus().length });
         statusTime.push({ x: runners, y: await measureRepeated(createStatus) });
@@ -37,10 +37,10 @@
         metricTime.push({ x: runners, y: await measureRepeated(() => metrics.registry.metrics()) });
     }
     const variable = "engine";
-    const withNodes = "status, 0.28 nodes an engine";
+    const statusQuantity = "status, 0.28 nodes an engine";
     return [
-        fitSlope({ id: "status.bytes", role, quantity: withNodes, unit: "B", variable }, statusBytes),
-        fitSlope({ id: "status.processor", role, quantity: withNodes, unit: "ms", variable }, statusTime),
+        fitSlope({ id: "status.bytes", role, quantity: statusQuantity, unit: "B", variable }, statusBytes),
+        fitSlope({ id: "status.processor", role, quantity: statusQuantity, unit: "ms", variable }, statusTime),
         fitSlope({ id: "metrics.bytes", role, quantity: "metrics", unit: "B", variable }, metricBytes),
         fitSlope({ id: "metrics.processor", role, quantity: "metrics", unit: "ms", variable }, metricTime),
     ];
--- a/bench/capacity/measureStore.ts
+++ b/bench/capacity/measureStore.ts
@@ -22,12 +22,12 @@
 
 const log = { write: () => undefined };
 const checkIntervalMilliseconds = 10_000;
-/** Some intervals of the largest number of nodes, which are stretched to 378 s. */
+/** Several check intervals of the largest number of nodes, which are scaled up to 378 s. */
 const virtualMilliseconds = 1_500_000;
 const nodeCounts = [34, 100, 340];
 const listReads = 40;
 
-/** Measures the calls of the configuration's watchers over virtual time, and what reading the list of VMs costs. */
+/** Measures the store calls of configuration watchers over virtual time, and the cost of reading the list of VMs. */
 export async function measureStore(): Promise<Slope[]> {
     const reads = [];
     const watches = [];
@@ -88,12 +88,12 @@
     const standin = await startStandin("standins/platform/main.ts", ["--vm-list-lag-milliseconds", "1"]);
     const processor = [];
     const bytes = [];
-    const all = letterSize.nodes + letterSize.runners;
-    for (const part of [0.25, 0.5, 1]) {
-        const count = Math.round(part * all);
+    const vmCount = letterSize.nodes + letterSize.runners;
+    for (const sizeFactor of [0.25, 0.5, 1]) {
+        const count = Math.round(sizeFactor * vmCount);
         await listVms(standin.address, count);
         const read = createVmListReader({ address: standin.address, timeoutMilliseconds: 5_000 });
-        const { view, directory } = createHolders();
+        const { view, directory } = createListConsumers();
         const readOnce = async (): Promise<void> => {
             const records = (await read()).unwrap();
             view.applyVmList(records, 0);
@@ -106,11 +106,11 @@
             }
         }, 3);
         processor.push({ x: count, y: spent / 1_000 / listReads });
-        const moved = await countWireBytes(
+        const transferredBytes = await countWireBytes(
             standin.address,
             address => createVmListReader({ address, timeoutMilliseconds: 5_000 })(),
         );
-        bytes.push({ x: count, y: moved });
+        bytes.push({ x: count, y: transferredBytes });
     }
     await standin.stop();
     const role = "VM list reader";
@@ -121,7 +121,7 @@
     ];
 }
 
-/** Puts machines on the stand-in's list: the nodes and the runners in their shares. */
+/** Adds VMs to the stand-in's list, with nodes and runners in the proportions of the design size. */
 async function listVms(address: string, count: number): Promise<void> {
     for (let index = 0; index < count; index++) {
         const isNode = index % Math.ceil((letterSize.nodes + letterSize.runners) / letterSize.nodes) === 0;
@@ -140,8 +140,8 @@
     }
 }
 
-/** What takes in the list: a view of all nodes and a directory of all runners. */
-function createHolders() {
+/** Creates the objects that a read list is applied to: a view of all nodes and a directory of all runners. */
+function createListConsumers() {
     const view = MembershipView.create({
         nodeId: "entry-0",
         peerAddress: "10.0.0.1:7400",
--- a/bench/capacity/measureTakeover.ts
+++ b/bench/capacity/measureTakeover.ts
@@ -15,10 +15,10 @@
 const claimsPerSlot = 10;
 const fillConcurrency = 64;
 const timeoutMilliseconds = 10_000;
-/** Number of the event that tells that a shard was read. */
+/** Number of the event that reports that a shard was loaded. */
 const shardLoadedNumber = 1301;
-/** Figures of a takeover by the claims that it reads. */
-const columns = {
+/** Description and unit of each figure of a takeover. */
+const figureDescriptions = {
     wall: ["takeover, wall time", "ms"],
     processor: ["takeover, processor", "ms"],
     reads: ["takeover, store reads", "calls"],
@@ -26,11 +26,11 @@
     heap: ["memory of a shard", "KiB"],
 } as const;
 
-/** Measures the reading of full rings of several sizes by a new owner, from the platform's stand-in. */
+/** Measures how a new owner loads full rings of several sizes from the platform stand-in. */
 export async function measureTakeover(): Promise<Slope[]> {
     const standin = await startStandin("standins/platform/main.ts");
     const store = EtcdStore.create({ address: standin.address, timeoutMilliseconds });
-    const runs: { x: number; figures: Record<keyof typeof columns, number>; }[] = [];
+    const runs: { x: number; figures: Record<keyof typeof figureDescriptions, number>; }[] = [];
     try {
         for (const [shard, slots] of [500, 1_500, 3_000, 6_000].entries()) {
             await fillRing(store, shard, slots);
@@ -42,8 +42,8 @@
         await store.close();
         await standin.stop();
     }
-    return Object.entries(columns).map(([name, [quantity, unit]]) => {
-        const points = runs.map(({ x, figures }) => ({ x, y: figures[name as keyof typeof columns] }));
+    return Object.entries(figureDescriptions).map(([name, [quantity, unit]]) => {
+        const points = runs.map(({ x, figures }) => ({ x, y: figures[name as keyof typeof figureDescriptions] }));
         const description = { id: `takeover.${name}`, role: "claim owner", quantity, unit };
         return fitSlope({ ...description, variable: "thousand claims" }, points.slice(1));
     });
@@ -54,7 +54,7 @@
     address: string,
     shard: number,
     slots: number,
-): Promise<Record<keyof typeof columns, number>> {
+): Promise<Record<keyof typeof figureDescriptions, number>> {
     const before = getHeapBytes();
     let reads = 0;
     let owner: ClaimOwner | undefined;
@@ -65,15 +65,15 @@
     const wall = performance.now() - startedAt;
     const heap = (getHeapBytes() - before) / 1_024;
     owner?.close();
-    const moved = await countWireBytes(address, async relayed => {
-        const other = EtcdStore.create({ address: relayed, timeoutMilliseconds });
-        (await takeOver(other, shard, slots)).close();
-        await other.close();
+    const transferredBytes = await countWireBytes(address, async proxyAddress => {
+        const proxied = EtcdStore.create({ address: proxyAddress, timeoutMilliseconds });
+        (await takeOver(proxied, shard, slots)).close();
+        await proxied.close();
     });
-    return { wall, processor: spent / 1_000, reads, heap, bytes: moved / 1_024 };
+    return { wall, processor: spent / 1_000, reads, heap, bytes: transferredBytes / 1_024 };
 }
 
-/** Fills every slot of a shard as an earlier owner would have. */
+/** Fills every slot of a shard with batches of a previous owner. */
 async function fillRing(store: PlatformStore, shard: number, slots: number): Promise<void> {
     const now = Date.now();
     let next = 0;
@@ -88,7 +88,7 @@
     await Promise.all(Array.from({ length: fillConcurrency }, fill));
 }
 
-/** Reads a shard whose ring is full, until the owner could decide its first claim. */
+/** Loads a shard until its owner can decide the first claim. */
 async function takeOver(store: PlatformStore, shard: number, ringSize: number): Promise<ClaimOwner> {
     let onLoaded = (): void => undefined;
     const loaded = new Promise<void>(resolve => onLoaded = resolve);
--- a/bench/capacity/measurements.ts
+++ b/bench/capacity/measurements.ts
@@ -4,7 +4,7 @@
 import type { ReportSpread } from "./reportSpread.ts";
 import type { Slope } from "./slope.ts";
 
-/** Everything that one run has measured; what was not run is absent. */
+/** Results of one run. Parts that weren't run are undefined. */
 export interface Measurements {
     slopes: Slope[];
     path?: PathFigures;
--- a/bench/capacity/peerFigures.ts
+++ b/bench/capacity/peerFigures.ts
@@ -1,4 +1,4 @@
-/** Figures of calls between nodes that are no slopes. */
+/** Measurements of calls between nodes that aren't slopes. */
 export interface PeerFigures {
     /** Processor time of one heartbeat exchange at both ends together, in microseconds. */
     exchangeMicroseconds: number;
--- a/bench/capacity/point.ts
+++ b/bench/capacity/point.ts
@@ -1,4 +1,4 @@
-/** One measurement: the variable and the quantity that was measured there. */
+/** One measurement: a value of the variable and the quantity measured at it. */
 export interface Point {
     x: number;
     y: number;
--- a/bench/capacity/printMeasurements.ts
+++ b/bench/capacity/printMeasurements.ts
@@ -4,24 +4,24 @@
 import type { Total } from "./total.ts";
 
 /**
- * Prints the measurements, and apart from them the totals, as Markdown tables.
- * @param measurements - What was measured.
- * @param totals - What was worked out; none where parts were not run.
+ * Prints the measurements and the totals as separate Markdown tables.
+ * @param measurements - Results of the run.
+ * @param totals - Computed totals; empty if only some parts were run.
  */
 export function printMeasurements(measurements: Measurements, totals: readonly Total[]): void {
     const { slopes, path, peers, reports, idleNodes } = measurements;
-    console.log("Slopes, by least squares:\n");
-    const head = ["id", "role", "quantity", "unit", "for one more", "slope", "at 0", "residual", "points (x: y)"];
-    console.log(formatTable(head, slopes.map(formatSlope)));
+    console.log("Slopes (least squares):\n");
+    const headers = ["id", "role", "quantity", "unit", "per additional", "slope", "at 0", "residual", "points (x: y)"];
+    console.log(formatTable(headers, slopes.map(formatSlope)));
     if (path !== undefined) {
         const { heapMebibytes, residentMebibytes, callers } = path;
         console.log(
-            `\nNode from its sources after the load: heap ${format(heapMebibytes)} MiB, resident ${
+            `\nNode run from source, after the load: heap ${format(heapMebibytes)} MiB, resident ${
                 format(residentMebibytes)
             } MiB.\n`,
         );
         const rows = callers.map(row => [row.callers, row.hopsPerSecond, row.microsecondsPerHop].map(format));
-        console.log(formatTable(["callers", "hops/s", "us of processor a hop"], rows));
+        console.log(formatTable(["callers", "hops/s", "processor us per hop"], rows));
     }
     if (peers !== undefined) {
         const { exchangeMicroseconds, connectionBytes } = peers;
@@ -32,14 +32,14 @@
         );
     }
     if (reports !== undefined) {
-        console.log("\nEndpoint records on gossip:\n");
-        const columns = [
+        console.log("\nPropagation of endpoint records by gossip:\n");
+        const reportHeaders = [
             "nodes",
             "engines",
             "before",
             "heard",
             "mean age s",
-            "50% / 95% / all know a leaving engine, s",
+            "seconds until 50% / 95% / all nodes know a leaving engine",
         ];
         const rows = reports.map(({ nodes, engines, before, known, meanAgeSeconds, leavingKnownSeconds }) => [
             ...[nodes, engines].map(format),
@@ -47,16 +47,16 @@
             ...[known, meanAgeSeconds].map(format),
             leavingKnownSeconds.map(value => value === undefined ? "not in 16" : format(value)).join(" / "),
         ]);
-        console.log(formatTable(columns, rows));
+        console.log(formatTable(reportHeaders, rows));
     }
     if (idleNodes !== undefined) {
-        console.log("\nBuilt node without requests:\n");
+        console.log("\nBuilt node, idle:\n");
         const rows = idleNodes.map(node => [
             node.state,
             ...[node.residentMebibytes, node.filesMebibytes, node.heapMebibytes].map(format),
             format(node.processorMillisecondsPerSecond),
         ]);
-        console.log(formatTable(["state", "resident MiB", "of it files MiB", "heap MiB", "processor ms/s"], rows));
+        console.log(formatTable(["state", "resident MiB", "file-backed MiB", "heap MiB", "processor ms/s"], rows));
     }
     if (totals.length > 0) {
         printTotals(totals);
@@ -64,13 +64,13 @@
 }
 
 function printTotals(totals: readonly Total[]): void {
-    console.log("\nWorked out at the letter's size:\n");
+    console.log("\nTotals at the design size:\n");
     const rows = totals.map(({ role, quantity, value, unit, budget }) => {
         const verdict = budget === undefined
             ? ""
             : value <= budget
             ? "kept"
-            : `broken, ${format(value / budget)} times`;
+            : `exceeded, ${format(value / budget)} times the budget`;
         return [role, quantity, format(value), unit, budget === undefined ? "" : String(budget), verdict];
     });
     console.log(formatTable(["role", "quantity", "value", "unit", "budget", ""], rows));
@@ -82,7 +82,7 @@
     return [slope.id, slope.role, slope.quantity, slope.unit, slope.variable, ...figures, points];
 }
 
-/** Writes a number with three digits that count, whole ones in full. */
+/** Formats a number with three significant digits, or rounded to an integer from 100 up. */
 function format(value: number): string {
     return Math.abs(value) >= 100 ? String(Math.round(value)) : String(Number(value.toPrecision(3)));
 }
--- a/bench/capacity/readNodeMemory.ts
+++ b/bench/capacity/readNodeMemory.ts
@@ -1,6 +1,6 @@
 import { request } from "undici";
 
-/** Memory of a node process, in MiB. */
+/** Memory of a node process. */
 interface NodeMemory {
     heapMebibytes: number;
     residentMebibytes: number;
@@ -8,7 +8,7 @@
 
 /**
  * Reads the memory of a node from its metrics.
- * @param adminAddress - host:port of its admin listener.
+ * @param adminAddress - host:port of the node's admin listener.
  */
 export async function readNodeMemory(adminAddress: string): Promise<NodeMemory> {
     const response = await request(`http://${adminAddress}/metrics`);
--- a/bench/capacity/reportSpread.ts
+++ b/bench/capacity/reportSpread.ts
@@ -1,13 +1,13 @@
-/** How well the records of the endpoint observers reach all nodes. */
+/** Results for the propagation of endpoint records to all nodes. */
 export interface ReportSpread {
     nodes: number;
     engines: number;
-    /** What all nodes knew before the run. */
+    /** What all nodes know before the run. */
     before: string;
-    /** Part of the engines of which a node has heard in the run. */
+    /** Mean fraction of the engines of which a node has received a record during the run. */
     known: number;
-    /** Mean age of what a node has heard of an engine in the run, in seconds. */
+    /** Mean age of the latest records that nodes have received during the run. */
     meanAgeSeconds: number;
-    /** Seconds until 50%, 95% and all of the nodes have heard that an engine leaves; undefined where the run was over before. */
+    /** Times until 50%, 95% and all of the nodes know that an engine is leaving; undefined if the run ended before that. */
     leavingKnownSeconds: readonly (number | undefined)[];
 }
--- a/bench/capacity/slope.ts
+++ b/bench/capacity/slope.ts
@@ -1,19 +1,20 @@
 import type { Point } from "./point.ts";
 
-/** What one quantity costs for each further unit of a variable, with the points that it was fitted through. */
+/** A linear fit of a measured quantity as a function of a variable. */
 export interface Slope {
-    /** Unique name by which the totals find it. */
+    /** Unique name by which the totals refer to the slope. */
     id: string;
+    /** Part of the system that was measured. */
     role: string;
     quantity: string;
     /** Unit of the quantity. */
     unit: string;
     variable: string;
     points: readonly Point[];
-    /** Units of the quantity for one more of the variable. */
+    /** Change of the quantity per unit of the variable. */
     slope: number;
-    /** Units of the quantity where the variable is 0. */
+    /** Value of the quantity when the variable is 0. */
     intercept: number;
-    /** Root of the mean squared distance of the points from the line, in units of the quantity. */
+    /** Root-mean-square deviation of the points from the line, in units of the quantity. */
     residual: number;
 }
--- a/bench/capacity/slopeTable.ts
+++ b/bench/capacity/slopeTable.ts
@@ -1,6 +1,6 @@
 import type { Slope } from "./slope.ts";
 
-/** The slopes of a run by their ids. */
+/** The slopes of a run, indexed by their ids. */
 export class SlopeTable {
     private readonly slopes: ReadonlyMap<string, Slope>;
 
@@ -8,17 +8,17 @@
         this.slopes = new Map(slopes.map(slope => [slope.id, slope]));
     }
 
-    /** Creates the table of a whole run. */
+    /** Creates the table from the slopes of a complete run. */
     static create(slopes: readonly Slope[]): SlopeTable {
         return new SlopeTable(slopes);
     }
 
-    /** Gets what one more of the variable costs. */
+    /** Gets the change of the quantity per unit of the variable. */
     getSlope(id: string): number {
         return this.getOrThrow(id).slope;
     }
 
-    /** Gets the quantity at a value of the variable, on the fitted line. */
+    /** Gets the value of the fitted line at a value of the variable. */
     getValue(id: string, x: number): number {
         const { slope, intercept } = this.getOrThrow(id);
         return intercept + slope * x;
@@ -27,7 +27,7 @@
     private getOrThrow(id: string): Slope {
         const slope = this.slopes.get(id);
         if (slope === undefined) {
-            throw new Error(`The run has no slope ${id}. Run all parts.`);
+            throw new Error(`The run has no slope ${id}; run all parts to compute totals.`);
         }
         return slope;
     }
--- a/bench/capacity/startStandin.ts
+++ b/bench/capacity/startStandin.ts
@@ -1,16 +1,16 @@
 import { ChildProcess } from "../../scripts/deployment/childProcess.ts";
 
-/** A stand-in that runs in a process of its own, so that its processor time is not counted. */
+/** A stand-in in a separate process, so that its processor time isn't measured. */
 interface StartedStandin {
-    /** host:port. */
+    /** host:port on which the stand-in listens. */
     address: string;
     stop(): Promise<unknown>;
 }
 
 /**
- * Starts a stand-in.
- * @param file - Its program, relative to the root of the repository.
- * @param options - Its options besides the port.
+ * Starts a stand-in and waits until it is ready.
+ * @param file - Path of its main file, relative to the root of the repository.
+ * @param options - Command-line options other than the port.
  */
 export async function startStandin(file: string, options: readonly string[] = []): Promise<StartedStandin> {
     const process = ChildProcess.create({
--- a/bench/capacity/total.ts
+++ b/bench/capacity/total.ts
@@ -1,9 +1,9 @@
-/** A figure at the letter's size, worked out from slopes. */
+/** A figure at the design size that is computed from slopes. */
 export interface Total {
     role: string;
     quantity: string;
     value: number;
     unit: string;
-    /** Most that the letter or the platform allows; undefined where neither names a limit. */
+    /** Maximum that the requirements or the platform allow; undefined if there is no limit. */
     budget?: number;
 }
