--- a/bench/capacity/computeClaimTotals.ts
+++ b/bench/capacity/computeClaimTotals.ts
@@ -25,7 +25,7 @@
         const appendProcessor = appendsPerSecond * processorPerAppend
             + claimsPerSecond * slopes.getSlope("claims.processor");
         const callProcessor = claimsPerSecond * slopes.getSlope("peers.claim") / 1_000;
-        const ringThousands = claimsPerSecond * ringSeconds / 1_000;
+        const ringThousandClaims = claimsPerSecond * ringSeconds / 1_000;
         const memory = slopes.getValue("takeover.heap", claimsPerSecond * retentionSeconds / 1_000) * 1_024 / 1e6;
         const writes = shards * slopes.getValue("claims.writesByInterval", appendsPerSecond);
         const processorBudget = budgets.controlMilliseconds;
@@ -42,17 +42,18 @@
                 budget: budgets.controlKilobytes,
             },
             { role, quantity: "memory", value: memory, unit: "MB", budget: budgets.controlMegabytes },
-            { role, quantity: "takeover", value: slopes.getValue("takeover.wall", ringThousands), unit: "ms" },
+            { role, quantity: "takeover", value: slopes.getValue("takeover.wall", ringThousandClaims), unit: "ms" },
             {
                 role,
                 quantity: "takeover, reads",
-                value: slopes.getValue("takeover.reads", ringThousands),
+                value: slopes.getValue("takeover.reads", ringThousandClaims),
                 unit: "calls",
             },
             {
                 role,
                 quantity: "takeover, bytes",
-                value: slopes.getValue("takeover.bytes", ringThousands) / 976.6,
+                // The slope is in KiB; 1 MB is 976.6 KiB.
+                value: slopes.getValue("takeover.bytes", ringThousandClaims) / 976.6,
                 unit: "MB",
             },
         ];
--- a/bench/capacity/measureCustomers.ts
+++ b/bench/capacity/measureCustomers.ts
@@ -31,7 +31,7 @@
 
 /** Measures the customer limits, the admission queue and the computation of a gate's capacity. */
 export async function measureCustomers(): Promise<Slope[]> {
-    return [...await measureLimits(), ...await measureQueue(), ...await measureCapacity()];
+    return [...await measureLimits(), ...await measureQueue(), ...await measureCapacityLookup()];
 }
 
 async function measureLimits(): Promise<Slope[]> {
@@ -83,6 +83,7 @@
         const names = createNames(count);
         heap.push({ x: count, y: measureHeap(() => createFullAdmission(names), 10) });
         const { admission, tickets, counts, request } = createFullAdmission(names);
+        // Lets the promise callbacks of the admitted requests run.
         await undefined;
         await undefined;
         const admitRequests = async (): Promise<void> => {
@@ -133,7 +134,7 @@
     return { admission, tickets, counts, request };
 }
 
-async function measureCapacity(): Promise<Slope[]> {
+async function measureCapacityLookup(): Promise<Slope[]> {
     const points = [];
     for (const count of [runners / 4, runners / 2, runners]) {
         const { configuration, states } = createFleet(count, models, createSeededRandom(1));
--- a/bench/capacity/measureObservation.ts
+++ b/bench/capacity/measureObservation.ts
@@ -100,6 +100,7 @@
     const points = [];
     const { service } = await createObservedService(runners, nodes);
     let sequence = Date.now();
+    // The first, largest count is a warm-up.
     for (const count of [8 * runners, ...runnerCounts]) {
         const batches = Array.from({ length: repetitions }, () => createRecords(count, sequence += count));
         const apply = () => service.applyRecords(batches.shift() ?? []);
--- a/bench/capacity/measureReportSpread.ts
+++ b/bench/capacity/measureReportSpread.ts
@@ -17,11 +17,12 @@
  * What nodes know at the start: nothing, as all nodes start at the same time; every engine; or every engine, of which a
  * tenth becomes unreachable at the start.
  */
-const states = ["none known", "all known", "a tenth lost"] as const;
-const cases = states.flatMap(before => sizes.map(size => ({ ...size, before })));
+const initialStates = ["none known", "all known", "a tenth lost"] as const;
+const cases = initialStates.flatMap(before => sizes.map(size => ({ ...size, before })));
 const lostFraction = 0.1;
-const requestBytes = 128;
-const responseBytes = 256;
+/** Byte budgets of the endpoint records in a gossip request and in its response. */
+const requestBudgetBytes = 128;
+const responseBudgetBytes = 256;
 const observersPerEngine = 3;
 /** Interval at which an observer repeats an unchanged state in a cluster of up to `unstretchedNodes` nodes. */
 const baseRefreshMilliseconds = 5_000;
@@ -35,7 +36,7 @@
     reports: EndpointReports;
     rotation: PeerRotation;
     /** Time at which the node's latest record of each engine was observed. */
-    seenAt: Map<string, number>;
+    observedAt: Map<string, number>;
     /** If the node knows that engine 0 is leaving. */
     knowsLeaving: boolean;
 }
@@ -46,16 +47,16 @@
  * The queues of the engines are idle, so that observers only send periodic refreshes and these changes of state.
  */
 export function measureReportSpread(): ReportSpread[] {
-    return cases.map(measureSpread);
+    return cases.map(measurePropagation);
 }
 
-function measureSpread({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportSpread {
+function measurePropagation({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportSpread {
     const random = createSeededRandom(seed);
     const refreshMilliseconds = baseRefreshMilliseconds * Math.max(1, nodeCount / unstretchedNodes);
     const nodes: ReportNode[] = Array.from({ length: nodeCount }, () => ({
         reports: EndpointReports.create(() => nodeCount),
         rotation: PeerRotation.create(random),
-        seenAt: new Map(),
+        observedAt: new Map(),
         knowsLeaving: false,
     }));
     const lastReportedAt = Array.from(
@@ -88,14 +89,14 @@
             knownAt.push(now + roundMilliseconds - warmupMilliseconds);
         }
     }
-    const ages = nodes.flatMap(node => [...node.seenAt.values()].map(seenAt => now - seenAt));
+    const ages = nodes.flatMap(node => [...node.observedAt.values()].map(observedAt => now - observedAt));
     return {
         nodes: nodeCount,
         engines,
         before,
         known: ages.length / nodeCount / engines,
         meanAgeSeconds: ages.reduce((sum, age) => sum + age, 0) / ages.length / 1_000,
-        leavingKnownSeconds: [0.5, 0.95, 1].map(part => knownAt[Math.ceil(part * nodeCount) - 1])
+        leavingKnownSeconds: [0.5, 0.95, 1].map(fraction => knownAt[Math.ceil(fraction * nodeCount) - 1])
             .map(milliseconds => milliseconds === undefined ? undefined : milliseconds / 1_000),
     };
 }
@@ -120,10 +121,10 @@
         const peers = names.filter(name => name !== String(index));
         for (const name of node.rotation.take(peers, fanOut)) {
             const peer = nodes[Number(name)]!;
-            for (const report of node.reports.collect(requestBytes)) {
+            for (const report of node.reports.collect(requestBudgetBytes)) {
                 applyReport(peer, report);
             }
-            for (const report of peer.reports.collect(responseBytes)) {
+            for (const report of peer.reports.collect(responseBudgetBytes)) {
                 applyReport(node, report);
             }
         }
@@ -132,12 +133,12 @@
 
 function applyReport(node: ReportNode, report: EndpointReport): void {
     if (node.reports.add(report)) {
-        node.seenAt.set(report.endpoint, Math.floor(Number(report.sequence) / 1_000));
+        node.observedAt.set(report.endpoint, Math.floor(Number(report.sequence) / 1_000));
         node.knowsLeaving ||= report.state === "leaving";
     }
 }
 
-/** Creates a record whose sequence is the observation time in microseconds plus an offset that differs by observer. */
+/** Creates a record. Its sequence is the observation time in microseconds plus an offset that differs by observer. */
 function createReport(engine: number, observer: number, now: number, state: string): EndpointReport {
     return {
         endpoint: `runner-${engine}`,
--- a/bench/capacity/measureTakeover.ts
+++ b/bench/capacity/measureTakeover.ts
@@ -42,6 +42,7 @@
         await store.close();
         await standin.stop();
     }
+    // The first run is a warm-up.
     return Object.entries(figureDescriptions).map(([name, [quantity, unit]]) => {
         const points = runs.map(({ x, figures }) => ({ x, y: figures[name as keyof typeof figureDescriptions] }));
         const description = { id: `takeover.${name}`, role: "claim owner", quantity, unit };
@@ -49,6 +50,7 @@
     });
 }
 
+/** Measures one takeover of a full ring; its bytes are counted during a second takeover through a proxy. */
 async function measureRing(
     store: PlatformStore,
     address: string,
