--- a/bench/admission/benchGate.ts
+++ b/bench/admission/benchGate.ts
@@ -2,16 +2,16 @@
 import type { AdmissionOptions } from "../../src/request/admission/admissionOptions.ts";
 import type { AdmissionRequest } from "../../src/request/admission/admissionRequest.ts";
 
-/** What the bench asks of an admission: to call back once, with the way to end the run or with a time to return. */
+/** Admission control as the benchmark calls it. It calls back once, either with a function that ends the run or with a retry delay. */
 export type BenchGate = (
     request: AdmissionRequest,
     onAdmit: (release: (tokens: number) => void) => void,
     onRefuse: (retryAfterMilliseconds: number) => void,
 ) => void;
 
-/** The gates that the bench compares. */
+/** Gates that the benchmark compares. */
 export const BenchGate = {
-    /** The code of `src/request/admission`. */
+    /** Creates a gate from the admission control of production, `src/request/admission`. */
     createAdmission: (options: AdmissionOptions): BenchGate => {
         const admission = Admission.create(options);
         return (request, onAdmit, onRefuse) => {
@@ -26,7 +26,7 @@
             });
         };
     },
-    /** First in, first out, without bounds and without refusals; what waits is dropped when its caller goes away. */
+    /** Creates an unbounded first-in, first-out queue without refusals. Waiting requests are dropped when their callers disconnect. */
     createFirstInFirstOut: (places: number): BenchGate => {
         const waiting: { request: AdmissionRequest; onAdmit: (release: (tokens: number) => void) => void; }[] = [];
         let head = 0;
--- a/bench/admission/comparedRun.ts
+++ b/bench/admission/comparedRun.ts
@@ -1,8 +1,8 @@
-/** Of the runs that compare the gates. */
+/** Parameters that the runs comparing the gates have in common. */
 export const comparedRun = {
-    /** Requests that run at the same time. */
+    /** Maximum number of concurrent requests. */
     places: 64,
     millisecondsPerToken: 20,
-    /** Mean length of an answer without a bound. */
+    /** Mean length of answers before they are capped. */
     meanTokens: 250,
 } as const;
--- a/bench/admission/createBenchConfiguration.ts
+++ b/bench/admission/createBenchConfiguration.ts
@@ -1,6 +1,6 @@
 import type { Configuration, CustomerConfiguration, RequestLimits } from "../../src/version/configuration.ts";
 
-/** Creates a configuration with customers and limits and without endpoints. */
+/** Creates a configuration with customers and limits but without endpoints. */
 export function createBenchConfiguration(
     customers: Record<string, Partial<CustomerConfiguration>>,
     limits: Partial<RequestLimits> = {},
--- a/bench/admission/loadModel.ts
+++ b/bench/admission/loadModel.ts
@@ -3,47 +3,47 @@
 import type { BenchGate } from "./benchGate.ts";
 import { LoadResult } from "./loadResult.ts";
 
-/** Requests that one customer sends, whatever the answers. */
+/** Arrival process of one customer, independent of the answers. */
 export interface LoadStream {
     customer: string;
-    /** New requests a second, as a function of the time in milliseconds. */
+    /** Gets the rate of new requests per second at a time in milliseconds. */
     getRequestsPerSecond: (now: number) => number;
-    /** Most of `getRequestsPerSecond`. */
+    /** Upper bound of `getRequestsPerSecond`. */
     maximumRequestsPerSecond: number;
 }
 
-/** A run of the load model. */
+/** Options for a run of the load model. */
 interface LoadModelOptions {
     clock: VirtualClock;
     random: RandomSource;
     gate: BenchGate;
     streams: readonly LoadStream[];
     durationMilliseconds: number;
-    /** What arrives before is not counted. */
+    /** Requests that arrive before this time are not counted. */
     warmUpMilliseconds: number;
-    /** Time that one place takes for a token, in milliseconds. */
+    /** Time to generate one token, in milliseconds. */
     millisecondsPerToken: number;
     meanTokens: number;
-    /** Requests are cut to this length. */
+    /** Answers are capped at this length. */
     maximumTokens: number;
     /** Time that a caller waits for its answer, in milliseconds. */
     patienceMilliseconds: number;
-    /** Times that a refused caller comes back. */
+    /** Maximum number of retries of a refused caller. */
     maximumReturns: number;
 }
 
-/** One caller with one request. */
+/** A caller with its request. */
 interface Caller {
     customer: string;
     tokens: number;
-    bornAt: number;
+    arrivedAt: number;
     isCounted: boolean;
-    returns: number;
+    retries: number;
 }
 
 /**
- * Drives a gate with open-loop Poisson arrivals of exponential length. A run holds its place for its length and
- * is cut off when its caller goes away. A refused caller comes back when told.
+ * Drives a gate with open-loop Poisson arrivals whose answer lengths are exponentially distributed. A run is aborted
+ * when its caller stops waiting. A refused caller retries after the delay that the gate gives.
  */
 export async function runLoadModel(options: LoadModelOptions): Promise<LoadResult> {
     const result = LoadResult.create(options.warmUpMilliseconds);
@@ -63,7 +63,7 @@
         if (random() * stream.maximumRequestsPerSecond < stream.getRequestsPerSecond(now)) {
             const tokens = Math.min(options.maximumTokens, 1 - Math.log(1 - random()) * options.meanTokens);
             const isCounted = now >= options.warmUpMilliseconds;
-            const caller = { customer: stream.customer, tokens, bornAt: now, isCounted, returns: 0 };
+            const caller = { customer: stream.customer, tokens, arrivedAt: now, isCounted, retries: 0 };
             result.observeArrival(caller);
             sendRequest(options, caller, result);
         }
@@ -79,7 +79,7 @@
         abort.abort();
         endRun?.();
     });
-    // The expected cost is off by up to a half either way.
+    // The expected cost deviates from the actual one by up to 50 %.
     const cost = caller.tokens * (0.5 + random());
     const deadline = sentAt + options.patienceMilliseconds;
     options.gate({ customer: caller.customer, gate: "model", cost, deadline, signal: abort.signal }, release => {
@@ -96,8 +96,8 @@
     }, retryAfterMilliseconds => {
         patience.cancel();
         result.observeRefusal(caller, clock.getMonotonicTime() - sentAt, retryAfterMilliseconds);
-        if (caller.returns < options.maximumReturns) {
-            caller.returns++;
+        if (caller.retries < options.maximumReturns) {
+            caller.retries++;
             clock.setTimer(retryAfterMilliseconds, () => sendRequest(options, caller, result));
         }
     });
--- a/bench/admission/loadResult.ts
+++ b/bench/admission/loadResult.ts
@@ -1,17 +1,17 @@
-/** What the result needs to know of a caller. */
+/** Data of a caller that a result uses. */
 interface ObservedCaller {
     customer: string;
     tokens: number;
-    bornAt: number;
+    arrivedAt: number;
     isCounted: boolean;
 }
 
-/** Runs of no more tokens than this are short. */
+/** Maximum number of tokens of a short run. */
 const shortTokens = 100;
 
-/** What a run of the load model showed. Times are milliseconds. */
+/** Result of a run of the load model. Times are in milliseconds. */
 export class LoadResult {
-    /** Tokens of the runs that ended in time and after the warm-up, whenever their callers came. */
+    /** Tokens of the runs that ended in time and after the warm-up, regardless of when their callers arrived. */
     goodTokens = 0;
     arrivals = 0;
     finished = 0;
@@ -28,17 +28,23 @@
         this.warmUpMilliseconds = warmUpMilliseconds;
     }
 
-    /** @param warmUpMilliseconds - What ends before is not counted. */
+    /**
+     * Creates an empty result.
+     * @param warmUpMilliseconds - Tokens of runs that end before this time are not counted.
+     */
     static create(warmUpMilliseconds: number): LoadResult {
         return new LoadResult(warmUpMilliseconds);
     }
 
-    /** Counts a caller's first sending. */
+    /** Counts the arrival of a caller. */
     observeArrival(caller: ObservedCaller): void {
         this.arrivals += caller.isCounted ? 1 : 0;
     }
 
-    /** Counts a run that ended in time, with its wait in milliseconds. */
+    /**
+     * Records a run that ended in time.
+     * @param wait - Time from the last attempt to the start of the run.
+     */
     observeFinish(caller: ObservedCaller, wait: number, now: number): void {
         this.goodTokens += now >= this.warmUpMilliseconds ? caller.tokens : 0;
         if (!caller.isCounted) {
@@ -46,13 +52,17 @@
         }
         this.finished++;
         add(this.waits, caller.customer, wait);
-        add(this.totals, caller.customer, now - caller.bornAt);
+        add(this.totals, caller.customer, now - caller.arrivedAt);
         if (caller.tokens <= shortTokens) {
-            add(this.shortTotals, caller.customer, now - caller.bornAt);
+            add(this.shortTotals, caller.customer, now - caller.arrivedAt);
         }
     }
 
-    /** Counts a refusal, with the time until it and the time until the return in milliseconds. */
+    /**
+     * Records a refusal.
+     * @param latency - Time from the attempt to the refusal.
+     * @param retryAfter - Retry delay given to the caller.
+     */
     observeRefusal(caller: ObservedCaller, latency: number, retryAfter: number): void {
         if (caller.isCounted) {
             this.refusals++;
@@ -61,19 +71,19 @@
         }
     }
 
-    /** Gets the times from sending to the start, of the customers that a function picks. */
-    getWaits(isPicked: (customer: string) => boolean): number[] {
-        return pick(this.waits, isPicked);
+    /** Gets the times from the last attempt to the start of the run, of the customers that a function selects. */
+    getWaits(isSelected: (customer: string) => boolean): number[] {
+        return selectValues(this.waits, isSelected);
     }
 
-    /** Gets the times from the first sending to the end. */
-    getTotals(isPicked: (customer: string) => boolean): number[] {
-        return pick(this.totals, isPicked);
+    /** Gets the times from the arrival of the caller to the end of the run. */
+    getTotals(isSelected: (customer: string) => boolean): number[] {
+        return selectValues(this.totals, isSelected);
     }
 
-    /** Gets the times from the first sending to the end, of the short runs. */
-    getShortTotals(isPicked: (customer: string) => boolean): number[] {
-        return pick(this.shortTotals, isPicked);
+    /** Gets the times from the arrival of the caller to the end of the run, of short runs only. */
+    getShortTotals(isSelected: (customer: string) => boolean): number[] {
+        return selectValues(this.shortTotals, isSelected);
     }
 }
 
@@ -87,10 +97,10 @@
     }
 }
 
-function pick(lists: Map<string, number[]>, isPicked: (customer: string) => boolean): number[] {
+function selectValues(lists: Map<string, number[]>, isSelected: (customer: string) => boolean): number[] {
     const values: number[] = [];
     for (const [customer, list] of lists) {
-        if (isPicked(customer)) {
+        if (isSelected(customer)) {
             values.push(...list);
         }
     }
--- a/bench/admission/measureConcurrency.ts
+++ b/bench/admission/measureConcurrency.ts
@@ -3,30 +3,32 @@
 import { createBenchConfiguration } from "./createBenchConfiguration.ts";
 import { createRandom } from "./createRandom.ts";
 
-const givenLimit = 64;
+const configuredLimit = 64;
 const meanRunMilliseconds = 5_000;
 const durationMilliseconds = 300_000;
-/** Places that the engines hold in each half of the run. */
-const heldPlaces = [40, 60] as const;
-/** Time after which an engine's refusal arrives. */
+/** Number of requests that the engines can run in each half of the run. */
+const engineCapacities = [40, 60] as const;
+/** Time until an engine's refusal arrives. */
 const refusalMilliseconds = 20;
 
-/** Runs that ended and requests that engines refused, in each half of the run. */
+/** Number of requests that ended and that engines refused, in each half of the run. */
 interface ConcurrencyResult {
     ended: [number, number];
     refused: [number, number];
 }
 
-/** Measures what learning from the refusals of engines is worth where they hold fewer requests than was said. */
+/** Measures the effect of learning from engine refusals when engines can run fewer requests than configured. */
 export async function measureConcurrency(): Promise<void> {
-    console.log(`\nConcurrency: ${givenLimit} places given, of which the engines hold 40, from 150 s on 60; load 1.5`);
+    console.log(
+        `\nConcurrency: ${configuredLimit} requests configured; the engines can run 40, from 150 s on 60; load 1.5`,
+    );
     for (const isLearning of [true, false]) {
         const { ended, refused } = await runConcurrency(isLearning);
         const halfCapacity = durationMilliseconds / 2 / meanRunMilliseconds;
         console.log([
             isLearning ? "learning    " : "not learning",
-            `used ${(ended[0] / halfCapacity / heldPlaces[0]).toFixed(3)} of ${heldPlaces[0]},`
-            + ` then ${(ended[1] / halfCapacity / heldPlaces[1]).toFixed(3)} of ${heldPlaces[1]}`,
+            `used ${(ended[0] / halfCapacity / engineCapacities[0]).toFixed(3)} of ${engineCapacities[0]},`
+            + ` then ${(ended[1] / halfCapacity / engineCapacities[1]).toFixed(3)} of ${engineCapacities[1]}`,
             `refused by engines ${refused.join(", then ")}`,
         ].join(", "));
     }
@@ -40,7 +42,7 @@
         getConfiguration: () => configuration,
         clock,
         random: createRandom(6),
-        getConcurrencyLimit: () => givenLimit,
+        getConcurrencyLimit: () => configuredLimit,
     });
     const result: ConcurrencyResult = { ended: [0, 0], refused: [0, 0] };
     let running = 0;
@@ -51,7 +53,7 @@
             }
             const ticket = answer.val;
             const half = clock.getMonotonicTime() < durationMilliseconds / 2 ? 0 : 1;
-            if (running >= heldPlaces[half]) {
+            if (running >= engineCapacities[half]) {
                 result.refused[half]++;
                 if (isLearning) {
                     admission.observeRefusal("model");
@@ -68,7 +70,7 @@
         });
     };
     const arrive = (): void => {
-        clock.setTimer(-Math.log(1 - random()) * meanRunMilliseconds / (1.5 * givenLimit), arrive);
+        clock.setTimer(-Math.log(1 - random()) * meanRunMilliseconds / (1.5 * configuredLimit), arrive);
         send();
     };
     arrive();
--- a/bench/admission/measureCost.ts
+++ b/bench/admission/measureCost.ts
@@ -13,20 +13,20 @@
 interface CostCase {
     name: string;
     places: number;
-    /** Requests that wait, one a customer in turn. */
+    /** Number of waiting requests, assigned to the customers in turn. */
     waiting: number;
     maximumQueueMilliseconds: number;
 }
 
-/** Measures the processor time of an admission and its release, and of a refusal. */
+/** Measures the wall-clock time of an admission with its release, and of a refusal. */
 export async function measureCost(): Promise<void> {
-    console.log("\nCost a request in microseconds (median, least and most of 15 rounds of 4,000; wall clock)");
-    const generous = { places: 64, maximumQueueMilliseconds: 1e9 };
-    await measureCase({ name: "admitted and released, nothing waits", ...generous, waiting: 0 });
-    await measureCase({ name: "queued, admitted, released; 2,000 customers wait", ...generous, waiting: 2_000 });
+    console.log("\nCost per request in microseconds (median, minimum and maximum of 15 rounds of 4,000; wall clock)");
+    const base = { places: 64, maximumQueueMilliseconds: 1e9 };
+    await measureCase({ name: "admitted and released, nothing waits", ...base, waiting: 0 });
+    await measureCase({ name: "queued, admitted, released; 2,000 customers wait", ...base, waiting: 2_000 });
     await measureCase({
-        name: "refused for the wait, 2,000 customers wait",
-        ...generous,
+        name: "refused because of the wait, 2,000 customers wait",
+        ...base,
         waiting: 2_000,
         maximumQueueMilliseconds: 1,
     });
@@ -72,6 +72,6 @@
         }
         costs.push((performance.now() - startedAt) * 1000 / requestsPerRound);
     }
-    const [median, least, most] = [0.5, 0, 1].map(quantile => getQuantile(costs, quantile).toFixed(1));
-    console.log(`${options.name.padEnd(50)} ${median} (${least} to ${most})`);
+    const [median, minimum, maximum] = [0.5, 0, 1].map(quantile => getQuantile(costs, quantile).toFixed(1));
+    console.log(`${options.name.padEnd(50)} ${median} (${minimum} to ${maximum})`);
 }
--- a/bench/admission/measureFairness.ts
+++ b/bench/admission/measureFairness.ts
@@ -6,7 +6,7 @@
 const { places, millisecondsPerToken, meanTokens } = comparedRun;
 const maximumTokens = 1_000;
 const meanRunTokens = meanTokens * (1 - Math.exp(-maximumTokens / meanTokens));
-/** Requests a second that the places can do. */
+/** Capacity in requests per second. */
 const capacity = places * 1000 / millisecondsPerToken / meanRunTokens;
 const large = "large";
 const isSmall = (customer: string): boolean => customer !== large;
@@ -14,16 +14,16 @@
 interface FairnessOptions {
     kind: string;
     customerCount: number;
-    /** Load of all small customers together, as a part of the capacity. */
+    /** Load of all small customers together, as a fraction of the capacity. */
     smallLoad: number;
-    /** Load of the large customer, as a part of the capacity. */
+    /** Load of the large customer, as a fraction of the capacity. */
     largeLoad: number;
     durationMilliseconds: number;
 }
 
-/** Measures what a burst of one large customer does to the small ones. */
+/** Measures the effect of one large customer's burst on the small customers. */
 export async function measureFairness(): Promise<void> {
-    console.log("\nFairness: the small customers (together half of the capacity) before and in a burst of a large one");
+    console.log("\nFairness: small customers (together half of the capacity) without and with a burst of a large one");
     for (
         const { customerCount, durationMilliseconds } of [
             { customerCount: 10, durationMilliseconds: 1_200_000 },
@@ -37,8 +37,8 @@
             console.log([
                 `${customerCount} customers`,
                 kind.padEnd(15),
-                compare("whole p99", calm.getTotals(isSmall), burst.getTotals(isSmall)),
-                compare("whole p99 of short runs", calm.getShortTotals(isSmall), burst.getShortTotals(isSmall)),
+                compare("total p99", calm.getTotals(isSmall), burst.getTotals(isSmall)),
+                compare("total p99 of short runs", calm.getShortTotals(isSmall), burst.getShortTotals(isSmall)),
                 compare("wait p95", calm.getWaits(isSmall), burst.getWaits(isSmall), 0.95),
                 compare("wait p99", calm.getWaits(isSmall), burst.getWaits(isSmall)),
                 `small finished ${calm.getWaits(isSmall).length} and ${burst.getWaits(isSmall).length}`,
--- a/bench/admission/measureGoodput.ts
+++ b/bench/admission/measureGoodput.ts
@@ -7,21 +7,21 @@
 const durationMilliseconds = 330_000;
 const warmUpMilliseconds = 30_000;
 const customerCount = 10;
-/** Tokens a second that the places can do. */
+/** Capacity in tokens per second. */
 const capacity = places * 1000 / millisecondsPerToken;
 
-/** One run: the gate, what the callers ask for, and how long they wait. */
+/** Options for one run: the gate, the load, and how long callers wait. */
 interface GoodputCase {
     kind: string;
-    /** New requests, as a part of what the places can do. */
+    /** Rate of new requests, as a fraction of the capacity. */
     load: number;
     patienceMilliseconds: number;
     maximumTokens: number;
 }
 
-/** Measures goodput at several loads, with the admission and with the unbounded queue. */
+/** Measures goodput at several loads, with admission control and with an unbounded queue. */
 export async function measureGoodput(): Promise<void> {
-    console.log("\nGoodput (part of capacity) by offered load (new requests; refused callers come back besides)");
+    console.log("\nGoodput (fraction of capacity) by offered load (new requests; retries come on top)");
     for (
         const { patienceMilliseconds, maximumTokens } of [
             { patienceMilliseconds: 15_000, maximumTokens: 500 },
@@ -49,7 +49,7 @@
 
 function printResult({ kind, load, patienceMilliseconds }: GoodputCase, result: LoadResult): void {
     const goodput = result.goodTokens / capacity / (durationMilliseconds - warmUpMilliseconds) * 1000;
-    const atOnce = result.refusalLatencies.filter(latency => latency === 0).length;
+    const immediate = result.refusalLatencies.filter(latency => latency === 0).length;
     console.log([
         `patience ${patienceMilliseconds / 1000} s`,
         kind.padEnd(15),
@@ -57,7 +57,7 @@
         `goodput ${goodput.toFixed(3)}`,
         `finished ${(result.finished / result.arrivals).toFixed(3)} of callers`,
         `p99 wait ${getQuantile(result.getWaits(() => true), 0.99).toFixed(0)} ms`,
-        `refusals ${result.refusals}, at once ${(atOnce / Math.max(1, result.refusals)).toFixed(4)}`,
+        `refusals ${result.refusals}, immediate ${(immediate / Math.max(1, result.refusals)).toFixed(4)}`,
         `latency p50 ${getQuantile(result.refusalLatencies, 0.5).toFixed(0)}`
         + ` max ${getQuantile(result.refusalLatencies, 1).toFixed(0)} ms`,
         `retry after p5 ${getQuantile(result.retryAfters, 0.05).toFixed(0)}`
--- a/bench/admission/measureReturns.ts
+++ b/bench/admission/measureReturns.ts
@@ -8,40 +8,40 @@
 const callers = 3_000;
 const binMilliseconds = 1_000;
 
-/** What one run showed. */
-interface ReturnsResult {
-    /** Requests sent in each second of the run. */
+/** Result of one run. */
+interface RetriesResult {
+    /** Number of requests sent in each second of the run. */
     bins: readonly number[];
     served: number;
-    /** Time at which the last one was served, in milliseconds. */
+    /** Time at which the last request was served, in milliseconds. */
     servedAt: number;
 }
 
-/** Measures how 3,000 callers that come within 100 ms return until all are served. */
+/** Measures how 3,000 callers that arrive within 100 ms retry until all are served. */
 export async function measureReturns(): Promise<void> {
     console.log(
-        `\nReturns: ${callers} callers within 100 ms, each back when told until it is served; capacity`
-            + ` ${places} a second, longest wait 2 s`,
+        `\nRetries: ${callers} callers within 100 ms, each of which retries until it is served; capacity`
+            + ` ${places} per second, maximum wait 2 s`,
     );
-    for (const kind of ["as told", "all after 1 s"]) {
-        const { bins, served, servedAt } = await runReturns(kind === "as told");
-        const returns = bins.slice(3);
-        const attempts = returns.reduce((sum, count) => sum + count, 0);
+    for (const kind of ["given delay", "fixed 1 s"]) {
+        const { bins, served, servedAt } = await runRetries(kind === "given delay");
+        const retries = bins.slice(3);
+        const retryCount = retries.reduce((sum, count) => sum + count, 0);
         console.log([
             kind.padEnd(13),
             `served ${served - places} of ${callers} in ${((servedAt - 2_000) / 1000).toFixed(1)} s`
             + ` (capacity allows ${(callers / places).toFixed(1)} s)`,
-            `returns ${attempts}`,
-            `most in a second ${Math.max(...returns)}`,
+            `retries ${retryCount}`,
+            `maximum per second ${Math.max(...retries)}`,
         ].join(", "));
     }
 }
 
 /**
- * Sends the callers and lets them return.
- * @param isAsTold - Whether they come back when told; after 1 s where not.
+ * Sends the requests of all callers, who retry until they are served.
+ * @param usesGivenDelay - Whether callers retry after the delay that they are given; otherwise after 1 s.
  */
-async function runReturns(isAsTold: boolean): Promise<ReturnsResult> {
+async function runRetries(usesGivenDelay: boolean): Promise<RetriesResult> {
     const clock = VirtualClock.create();
     const random = createRandom(3);
     const admission = createAdmission(clock);
@@ -53,7 +53,7 @@
         bins[bin] = (bins[bin] ?? 0) + 1;
         void admission.requestAdmission({ customer: "customer", gate: "model", cost: 1 }).then(result => {
             if (result.err) {
-                clock.setTimer(isAsTold ? result.val.retryAfterMilliseconds : 1_000, send);
+                clock.setTimer(usesGivenDelay ? result.val.retryAfterMilliseconds : 1_000, send);
                 return;
             }
             const ticket = result.val;
@@ -64,7 +64,7 @@
             });
         });
     };
-    // A few runs before, from which the drain rate is known.
+    // Runs before the burst let the admission control measure its drain rate.
     for (let index = 0; index < places; index++) {
         send();
     }
--- a/bench/admission/measureSharedLimits.ts
+++ b/bench/admission/measureSharedLimits.ts
@@ -5,25 +5,25 @@
 
 const gossipLagMilliseconds = 500;
 const gossipIntervalMilliseconds = 500;
-const usualWindowMilliseconds = 10_000;
+const defaultWindowMilliseconds = 10_000;
 const windowCount = 6;
 const warmUpMilliseconds = 60_000;
 
-/** One customer's demand over all nodes. */
+/** Demand of one customer over all nodes. */
 interface Scenario {
     name: string;
-    /** Limit, in requests a second. */
+    /** Limit in requests per second. */
     limit: number;
-    /** Demand as a part of the limit. */
+    /** Gets the demand as a fraction of the limit. */
     getDemand: (now: number) => number;
-    /** Picks the node that a request reaches. */
+    /** Picks the node that receives a request. */
     pickNode: (now: number, nodeCount: number, random: () => number) => number;
-    /** Length of the windows, for which 10 s are too short where there are few requests. */
+    /** Length of the windows. The default of 10 s is too short for low request rates. */
     windowMilliseconds?: number;
 }
 
 const pickAnyNode: Scenario["pickNode"] = (_now, nodeCount, random) => Math.floor(random() * nodeCount);
-/** Every twenty seconds another third of the nodes gets nine tenths of the requests. */
+/** Sends nine tenths of the requests to one third of the nodes, which changes every 20 s, and the rest to any node. */
 const pickShiftingNode: Scenario["pickNode"] = (now, nodeCount, random) => {
     const third = Math.floor(now / 20_000) % 3;
     return Math.floor((random() < 0.9 ? (third + random()) / 3 : random()) * nodeCount);
@@ -42,14 +42,14 @@
     { name: "even, few requests, at 2", limit: 20, getDemand: () => 2, pickNode: pickAnyNode },
     { name: "even, few requests, at 0.9", limit: 20, getDemand: () => 0.9, pickNode: pickAnyNode },
     {
-        name: "even, 1 a second, at 2",
+        name: "even, 1 per second, at 2",
         limit: 1,
         getDemand: () => 2,
         pickNode: pickAnyNode,
         windowMilliseconds: 50_000,
     },
     {
-        name: "even, 1 a second, at 0.9",
+        name: "even, 1 per second, at 0.9",
         limit: 1,
         getDemand: () => 0.9,
         pickNode: pickAnyNode,
@@ -63,24 +63,24 @@
     },
 ];
 
-/** How the demands reach the other nodes. */
+/** How nodes exchange their demands. */
 interface Exchange {
     name: string;
     nodeCount: number;
-    /** Peers that each node tells its demand in a round; undefined where a node a customer sums them up. */
+    /** Number of peers to which each node sends its demand per round; undefined if one node per customer sums the demands. */
     fanOut?: number;
 }
 
 const exchanges: Exchange[] = [
-    { name: "9 nodes, each tells all", nodeCount: 9, fanOut: 8 },
-    { name: "340 nodes, each tells 3", nodeCount: 340, fanOut: 3 },
-    { name: "340 nodes, summed up by one", nodeCount: 340 },
+    { name: "9 nodes, each sends to all", nodeCount: 9, fanOut: 8 },
+    { name: "340 nodes, each sends to 3", nodeCount: 340, fanOut: 3 },
+    { name: "340 nodes, summed by one", nodeCount: 340 },
 ];
 
-/** Measures what all nodes together let through against the limit. */
+/** Measures how many requests all nodes together admit, compared with the limit. */
 export async function measureSharedLimits(): Promise<void> {
-    console.log("\nShared limits: requests let through, as a part of what the limit and the demand allow");
-    console.log(`rounds every ${gossipIntervalMilliseconds} ms, known ${gossipLagMilliseconds} ms later`);
+    console.log("\nShared limits: admitted requests as a fraction of what the limit and the demand allow");
+    console.log(`gossip rounds every ${gossipIntervalMilliseconds} ms, received ${gossipLagMilliseconds} ms later`);
     for (const exchange of exchanges) {
         console.log(exchange.name);
         for (const scenario of scenarios) {
@@ -102,28 +102,28 @@
             getNodeCount: exchange.fanOut === undefined ? undefined : () => nodeCount,
         }));
     startGossip(nodes, exchange, clock, random);
-    const windowMilliseconds = scenario.windowMilliseconds ?? usualWindowMilliseconds;
+    const windowMilliseconds = scenario.windowMilliseconds ?? defaultWindowMilliseconds;
     const arrived = new Array<number>(windowCount).fill(0);
-    const passed = new Array<number>(windowCount).fill(0);
+    const admitted = new Array<number>(windowCount).fill(0);
     const arrive = (): void => {
         const now = clock.getMonotonicTime();
         const rate = scenario.limit * scenario.getDemand(now);
         clock.setTimer(-Math.log(1 - random()) * 1000 / rate, arrive);
         const node = nodes[scenario.pickNode(now, nodeCount, random)];
-        const isPassed = node?.takeRequest("customer", now) === undefined;
+        const isAdmitted = node?.takeRequest("customer", now) === undefined;
         const window = Math.floor((now - warmUpMilliseconds) / windowMilliseconds);
         if (window >= 0 && window < windowCount) {
             arrived[window] = (arrived[window] ?? 0) + 1;
-            passed[window] = (passed[window] ?? 0) + (isPassed ? 1 : 0);
+            admitted[window] = (admitted[window] ?? 0) + (isAdmitted ? 1 : 0);
         }
     };
     arrive();
     await clock.runUntil(warmUpMilliseconds + windowCount * windowMilliseconds);
     const allowed = arrived.map(count => Math.min(count, scenario.limit * windowMilliseconds / 1000));
-    const ratios = passed.map((count, index) => count / (allowed[index] ?? 1));
+    const ratios = admitted.map((count, index) => count / (allowed[index] ?? 1));
     console.log([
         `  ${scenario.name.padEnd(27)}`,
-        `whole ${(sum(passed) / sum(allowed)).toFixed(3)}`,
+        `total ${(sum(admitted) / sum(allowed)).toFixed(3)}`,
         `windows of ${windowMilliseconds / 1000} s ${ratios.map(ratio => ratio.toFixed(2)).join(" ")}`,
     ].join(", "));
 }
--- a/bench/admission/runComparedLoad.ts
+++ b/bench/admission/runComparedLoad.ts
@@ -6,11 +6,11 @@
 import { type LoadStream, runLoadModel } from "./loadModel.ts";
 import type { LoadResult } from "./loadResult.ts";
 
-/** One run: the gate, what the customers ask for, and how long they wait. */
+/** Options for one run: the gate, the load, and how long callers wait. */
 interface ComparedLoad {
-    /** `admission`, or the unbounded queue. */
+    /** `admission` for the admission control of production; any other value for the unbounded queue. */
     kind: string;
-    /** New requests a second by customer. */
+    /** New requests per second, by customer. */
     rates: ReadonlyMap<string, number>;
     maximumTokens: number;
     durationMilliseconds: number;
@@ -20,7 +20,7 @@
 
 const maximumReturns = 3;
 
-/** Runs a steady load against one of the gates. */
+/** Runs a constant load against one of the gates. */
 export function runComparedLoad({ kind, rates, ...load }: ComparedLoad): Promise<LoadResult> {
     const { places, ...run } = comparedRun;
     const clock = VirtualClock.create();
--- a/bench/experiment/createRequest.ts
+++ b/bench/experiment/createRequest.ts
@@ -3,37 +3,38 @@
 import type { ExperimentSettings } from "./experimentSettings.ts";
 import type { SimulatedRequest } from "./simulatedRequest.ts";
 
-const smallCustomers = 9;
-/** Spreads of the logarithms of the prompt's and the answer's length, and of the callers' estimates. */
-const promptSpread = 0.8;
-const answerSpread = 0.7;
-const hintSpread = 0.5;
-const mostTimesMean = 3;
-const shortestDeadline = 17_000;
-const deadlineSpread = 3_000;
+const smallCustomerCount = 9;
+/** Standard deviations of the logarithms of prompt lengths, answer lengths and the callers' estimates of answer lengths. */
+const promptLogDeviation = 0.8;
+const answerLogDeviation = 0.7;
+const estimateLogDeviation = 0.5;
+/** Maximum length as a multiple of the mean. */
+const maximumLengthFactor = 3;
+const minimumDeadlineMilliseconds = 17_000;
+const deadlineRangeMilliseconds = 3_000;
 
-/** Creates a request of a load. */
+/** Creates a random request of a load. */
 export function createRequest(settings: ExperimentSettings, id: string, random: RandomSource): SimulatedRequest {
-    const answerTokens = drawLength(settings.answerTokens, answerSpread, random);
-    const isOfLarge = random() < settings.largeCustomerPart;
+    const answerTokens = drawLength(settings.answerTokens, answerLogDeviation, random);
+    const isFromLargeCustomer = random() < settings.largeCustomerPart;
     return {
         id,
-        customer: isOfLarge ? "large" : `small-${Math.floor(random() * smallCustomers)}`,
-        promptTokens: Math.ceil(drawLength(settings.promptTokens, promptSpread, random)),
+        customer: isFromLargeCustomer ? "large" : `small-${Math.floor(random() * smallCustomerCount)}`,
+        promptTokens: Math.ceil(drawLength(settings.promptTokens, promptLogDeviation, random)),
         events: Math.max(1, Math.round(answerTokens / experimentModel.stepsOfPass)),
-        expectedAnswerTokens: Math.ceil(answerTokens * Math.exp(hintSpread * drawNormal(random))),
-        deadlineMilliseconds: Math.floor(shortestDeadline + deadlineSpread * random()),
+        expectedAnswerTokens: Math.ceil(answerTokens * Math.exp(estimateLogDeviation * drawNormal(random))),
+        deadlineMilliseconds: Math.floor(minimumDeadlineMilliseconds + deadlineRangeMilliseconds * random()),
         impatientPart: settings.impatientPart,
     };
 }
 
-/** Draws a length of lognormal distribution, cut at some times its mean. */
-function drawLength(mean: number, spread: number, random: RandomSource): number {
-    const length = mean * Math.exp(spread * drawNormal(random) - spread * spread / 2);
-    return Math.min(mean * mostTimesMean, Math.max(1, length));
+/** Draws a length from a lognormal distribution, capped at a multiple of its mean. */
+function drawLength(mean: number, logDeviation: number, random: RandomSource): number {
+    const length = mean * Math.exp(logDeviation * drawNormal(random) - logDeviation * logDeviation / 2);
+    return Math.min(mean * maximumLengthFactor, Math.max(1, length));
 }
 
-/** Draws a number of normal distribution with mean 0 and deviation 1 (Box and Muller). */
+/** Draws a number from the standard normal distribution by the Box-Muller transform. */
 function drawNormal(random: RandomSource): number {
     return Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
 }
--- a/bench/experiment/experiment.ts
+++ b/bench/experiment/experiment.ts
@@ -19,7 +19,7 @@
 import { SimulatedNode } from "./simulatedNode.ts";
 import type { SimulatedRequest } from "./simulatedRequest.ts";
 
-/** Options of an experiment's run. */
+/** Options for running an experiment. */
 interface RunOptions {
     settings: ExperimentSettings;
     seed: number;
@@ -28,9 +28,9 @@
 
 const secondMilliseconds = 1_000;
 const windowSeconds = 2;
-const roundMilliseconds = 300;
-/** After its end, this long is played without new requests. */
-const restMilliseconds = 25_000;
+const gossipRoundMilliseconds = 300;
+/** Time after the last arrivals in which running requests can finish. */
+const drainMilliseconds = 25_000;
 const dataCentres = ["a", "b", "c"];
 const serviceName = "model";
 
@@ -49,24 +49,24 @@
     isResumable: true,
 };
 
-/** Plays a load over some nodes and engines, in virtual time; the same seed gives the same result. */
+/** Simulates a load on nodes and engines in virtual time. The same seed gives the same result. */
 export class Experiment {
     private readonly settings: ExperimentSettings;
     private readonly random: RandomSource;
     private readonly clock = VirtualClock.create();
     private readonly engines: SimulatedEngine[];
-    private readonly world: SimulatedEngines;
+    private readonly simulation: SimulatedEngines;
     private readonly nodes: SimulatedNode[];
     private readonly outcomes: { request: SimulatedRequest; outcome: CallerOutcome; }[] = [];
     private readonly seed: number;
-    private count = 0;
+    private requestCount = 0;
 
     private constructor({ settings, seed, without = new Set() }: RunOptions) {
         this.settings = settings;
         this.seed = seed;
         this.random = createSeededRandom(seed);
         this.engines = createEngines(settings);
-        this.world = SimulatedEngines.create(this.clock, this.engines);
+        this.simulation = SimulatedEngines.create(this.clock, this.engines);
         const directory = createDirectory(this.engines);
         this.nodes = Array.from({ length: settings.nodes }, (_, index) =>
             SimulatedNode.create({
@@ -75,51 +75,51 @@
                 dataCentre: dataCentres[index % dataCentres.length]!,
                 clock: this.clock,
                 random: createSeededRandom(seed * settings.nodes + index + 1),
-                engines: this.world,
+                engines: this.simulation,
                 directory,
                 without,
             }));
     }
 
-    /** Plays an experiment. */
+    /** Runs an experiment. */
     static run(options: RunOptions): ExperimentResult {
         const experiment = new Experiment(options);
-        experiment.play();
+        experiment.simulate();
         return experiment.summarize();
     }
 
-    private play(): void {
+    private simulate(): void {
         const end = this.settings.durationSeconds * secondMilliseconds;
         this.scheduleFaults();
         for (const node of this.nodes) {
-            this.scheduleRound(node);
+            this.scheduleGossip(node);
         }
         this.scheduleArrival();
-        this.clock.runTimersUntil(end + restMilliseconds);
+        this.clock.runTimersUntil(end + drainMilliseconds);
     }
 
     private scheduleArrival(): void {
         const { arrivalsPerSecond, durationSeconds } = this.settings;
-        const rate = arrivalsPerSecond * this.getFactor();
+        const rate = arrivalsPerSecond * this.getArrivalFactor();
         const gap = -Math.log(1 - this.random()) / rate * secondMilliseconds;
         this.clock.setTimer(gap, () => {
             if (this.clock.getMonotonicTime() > durationSeconds * secondMilliseconds) {
                 return;
             }
-            this.count += 1;
-            const request = createRequest(this.settings, `request-${this.count}`, this.random);
+            this.requestCount += 1;
+            const request = createRequest(this.settings, `request-${this.requestCount}`, this.random);
             SimulatedCaller.start({
                 clock: this.clock,
                 random: this.random,
                 request,
-                send: (...sending) => this.send(...sending),
+                send: (...parameters) => this.send(...parameters),
                 onDone: outcome => this.outcomes.push({ request, outcome }),
             });
             this.scheduleArrival();
         });
     }
 
-    private getFactor(): number {
+    private getArrivalFactor(): number {
         const now = this.clock.getMonotonicTime() / secondMilliseconds;
         let factor = 1;
         for (const burst of this.settings.bursts) {
@@ -164,8 +164,8 @@
         StreamRelay.create(environment, task, experimentModel, () => undefined).start();
     }
 
-    private scheduleRound(node: SimulatedNode): void {
-        this.clock.setTimer(roundMilliseconds * (0.8 + 0.4 * this.random()), () => {
+    private scheduleGossip(node: SimulatedNode): void {
+        this.clock.setTimer(gossipRoundMilliseconds * (0.8 + 0.4 * this.random()), () => {
             const others = this.nodes.filter(other => other !== node);
             const partners = choosePartners({
                 nodeId: node.nodeId,
@@ -186,25 +186,25 @@
             for (const other of others.filter(({ nodeId }) => partners.has(nodeId))) {
                 node.exchangeWith(other, this.clock.getMonotonicTime());
             }
-            this.scheduleRound(node);
+            this.scheduleGossip(node);
         });
     }
 
     private scheduleFaults(): void {
         for (const { kind, from, to, share, factor, nodeShare } of this.settings.faults) {
-            const struck = this.engines.filter(() => this.random() < share);
+            const affectedEngines = this.engines.filter(() => this.random() < share);
             const cutNodes = new Set([...this.nodes.keys()].filter(() => this.random() < nodeShare));
             this.clock.setTimer(from * secondMilliseconds, () => {
-                for (const engine of struck) {
+                for (const engine of affectedEngines) {
                     engine.slowness = kind === "slow" ? factor : 1;
                     engine.cutNodes = kind === "cut" ? cutNodes : new Set();
                     if (kind === "lost") {
-                        this.world.loseEngine(engine);
+                        this.simulation.loseEngine(engine);
                     }
                 }
             });
             this.clock.setTimer(to * secondMilliseconds, () => {
-                for (const engine of struck) {
+                for (const engine of affectedEngines) {
                     engine.slowness = 1;
                     engine.cutNodes = new Set();
                     engine.isLost = false;
@@ -218,7 +218,7 @@
         for (let from = 0; from < this.settings.durationSeconds; from += windowSeconds) {
             windows.push({ from, asked: 0, inAim: 0, late: 0, refused: 0, failed: 0, firstEvents: [] });
         }
-        const returned = this.outcomes.filter(({ outcome }) => outcome.wasRefused);
+        const retried = this.outcomes.filter(({ outcome }) => outcome.wasRefused);
         for (const { outcome } of this.outcomes) {
             const window = windows[Math.floor(outcome.sentAt / secondMilliseconds / windowSeconds)];
             if (window === undefined) {
@@ -233,11 +233,11 @@
         return {
             seed: this.seed,
             windows,
-            sent: this.world.counts.sent,
-            refusedByEngines: this.world.counts.refused,
-            preempted: this.world.counts.preempted,
-            returned: returned.length,
-            servedReturns: returned.filter(({ outcome }) => outcome.kind === "late" || outcome.kind === "inAim").length,
+            sent: this.simulation.counts.sent,
+            refusedByEngines: this.simulation.counts.refused,
+            preempted: this.simulation.counts.preempted,
+            returned: retried.length,
+            servedReturns: retried.filter(({ outcome }) => outcome.kind === "late" || outcome.kind === "inAim").length,
             customerShortfall: this.getCustomerShortfall(),
         };
     }
@@ -249,9 +249,10 @@
             asked.set(customer, (asked.get(customer) ?? 0) + 1);
             served.set(customer, (served.get(customer) ?? 0) + (outcome.kind === "inAim" ? 1 : 0));
         }
-        const all = this.outcomes.filter(({ outcome }) => outcome.kind === "inAim").length / this.outcomes.length;
-        const parts = [...asked].map(([customer, count]) => served.get(customer)! / count);
-        return Math.max(0, ...parts.map(part => all - part));
+        const servedFraction = this.outcomes.filter(({ outcome }) => outcome.kind === "inAim").length
+            / this.outcomes.length;
+        const customerFractions = [...asked].map(([customer, count]) => served.get(customer)! / count);
+        return Math.max(0, ...customerFractions.map(fraction => servedFraction - fraction));
     }
 }
 
--- a/bench/experiment/experimentModel.ts
+++ b/bench/experiment/experimentModel.ts
@@ -7,7 +7,7 @@
     { name: "slow", memoryMegabytes: 21_600, stepFactor: 16, prefillFactor: 8.2 },
 ];
 
-/** The model whose engines an experiment plays: 80 layers over three kinds of accelerators. */
+/** The model that the simulated engines run: 80 layers on three kinds of accelerators. */
 export const experimentModel: EngineModel = {
     modelName: "m",
     layers: 80,
--- a/bench/experiment/experimentResult.ts
+++ b/bench/experiment/experimentResult.ts
@@ -1,9 +1,12 @@
-/** What became of the requests that were sent in one span of time. */
+/** Outcomes of the requests that were first sent in one time window. */
 export interface ExperimentWindow {
-    /** Start of the span, in seconds. */
+    /** Start of the window, in seconds. */
     from: number;
+    /** Requests sent. */
     asked: number;
+    /** Requests served within the latency objectives. */
     inAim: number;
+    /** Requests served, but not within the latency objectives. */
     late: number;
     refused: number;
     failed: number;
@@ -11,17 +14,17 @@
     firstEvents: number[];
 }
 
-/** What one run of an experiment gave. */
+/** Result of one run of an experiment. */
 export interface ExperimentResult {
     seed: number;
     windows: ExperimentWindow[];
-    /** Sendings to engines, those that were refused, and requests given up in mid-stream for want of memory. */
+    /** Attempts sent to engines, attempts that engines refused, and preemptions in mid-stream for lack of memory. */
     sent: number;
     refusedByEngines: number;
     preempted: number;
-    /** Requests that came back after they were turned away, and those of them that were served. */
+    /** Requests that were refused at their first attempt, and those of them that a retry served. */
     returned: number;
     servedReturns: number;
-    /** Most that a customer's part of what was served in time lies below its part of what was asked, 0 to 1. */
+    /** Largest amount by which the fraction of a customer's requests served in time lies below that of all requests, 0 to 1. */
     customerShortfall: number;
 }
--- a/bench/experiment/experimentSettings.ts
+++ b/bench/experiment/experimentSettings.ts
@@ -1,13 +1,13 @@
 import { z } from "zod";
 
 const seconds = z.number().nonnegative();
-const part = z.number().min(0).max(1);
+const fraction = z.number().min(0).max(1);
 
 const burstSchema = z.strictObject({
-    /** Seconds from the start. */
+    /** Start of the burst, in seconds since the start of the experiment. */
     from: seconds,
     to: seconds,
-    /** Times the usual arrivals. */
+    /** Multiplier of the arrival rate. */
     factor: z.number().positive(),
 });
 
@@ -15,32 +15,32 @@
     kind: z.enum(["lost", "slow", "cut"]),
     from: seconds,
     to: seconds,
-    /** Part of the endpoints that it strikes. */
-    share: part,
-    /** Times as slow; of `slow` only. */
+    /** Probability that the fault affects an endpoint. */
+    share: fraction,
+    /** Slowdown factor; applies to `slow` only. */
     factor: z.number().min(1).default(1),
-    /** Part of the nodes from which the endpoints can't be reached; of `cut` only. */
-    nodeShare: part.default(1),
+    /** Probability that a node can't reach the affected endpoints; applies to `cut` only. */
+    nodeShare: fraction.default(1),
 });
 
 const groupSchema = z.strictObject({
     kind: z.enum(["fast", "middle", "slow"]),
     count: z.number().int().positive(),
-    /** Layers that each endpoint of the group holds, the second one not included. */
+    /** First layer that each endpoint of the group holds, and the layer after its last one. */
     layers: z.tuple([z.number().int().nonnegative(), z.number().int().positive()]),
 });
 
-/** The file of an experiment: a deployment, its load and its faults. Times are in seconds. */
+/** Schema of an experiment file: a deployment, its load and its faults. Times are in seconds. */
 export const experimentSettingsSchema = z.strictObject({
-    /** What the load is for, in a line. */
+    /** What the experiment tests, in one line. */
     purpose: z.string(),
     nodes: z.number().int().positive(),
     durationSeconds: z.number().positive(),
     arrivalsPerSecond: z.number().positive(),
-    /** Part of the requests that come from one customer; the others come from nine. */
-    largeCustomerPart: part.default(0.1),
-    /** Part of the callers that come back at once, whatever they are told. */
-    impatientPart: part.default(0),
+    /** Probability that a request comes from the large customer; the others come from nine small ones. */
+    largeCustomerPart: fraction.default(0.1),
+    /** Probability that a refused caller retries at once, regardless of the retry delay it is given. */
+    impatientPart: fraction.default(0),
     /** Mean tokens of a prompt and of an answer. */
     promptTokens: z.number().positive().default(735),
     answerTokens: z.number().positive().default(198),
@@ -49,5 +49,5 @@
     endpoints: z.array(groupSchema),
 });
 
-/** The file of an experiment. */
+/** Settings of an experiment. */
 export type ExperimentSettings = z.infer<typeof experimentSettingsSchema>;
--- a/bench/experiment/main.ts
+++ b/bench/experiment/main.ts
@@ -1,5 +1,5 @@
 /**
- * Plays loads over a simulated deployment with the decisions of production, faster than real time.
+ * Simulates loads on a deployment in virtual time, with the routing code of production.
  *
  * Usage: npm run experiment -- FILE... [--seeds N] [--without MECHANISM,...] [--windows] [--svg FILE] [--json FILE]
  */
@@ -16,12 +16,12 @@
 const mechanisms = Object.values(Mechanism);
 const options = yargs(process.argv.slice(2))
     .usage("$0 FILE... [options]")
-    .option("seeds", { type: "number", default: 3, describe: "How many seeds to play." })
-    .option("without", { type: "string", default: "", describe: `Leave out: ${mechanisms.join(", ")}.` })
-    .option("windows", { type: "boolean", default: false, describe: "Print each span of time." })
-    .option("svg", { type: "string", describe: "Write a plot of the last file to this file." })
-    .option("json", { type: "string", describe: "Write a line for each run to this file." })
-    .demandCommand(1, "Name the file of an experiment, such as bench/experiment/loads/overload-2x.jsonc.")
+    .option("seeds", { type: "number", default: 3, describe: "Number of seeds to run." })
+    .option("without", { type: "string", default: "", describe: `Mechanisms to switch off: ${mechanisms.join(", ")}.` })
+    .option("windows", { type: "boolean", default: false, describe: "Print the figures of each time window." })
+    .option("svg", { type: "string", describe: "Write a plot of the last experiment to this file." })
+    .option("json", { type: "string", describe: "Write the result of each run to this file as a line of JSON." })
+    .demandCommand(1, "Name at least one experiment file, such as bench/experiment/loads/overload-2x.jsonc.")
     .strict()
     .parseSync();
 
@@ -103,7 +103,7 @@
     const maximumX = windows.at(-1)!.from;
     return drawPlots([
         {
-            title: "Requests of each two seconds",
+            title: "Requests per two-second window",
             horizontal: "seconds",
             vertical: "requests",
             maximumX,
@@ -111,12 +111,12 @@
             series: [getSeries("asked"), getSeries("inAim"), getSeries("late"), getSeries("refused")],
         },
         {
-            title: "First event, by the time of the first sending",
+            title: "Time to first event, by the time of the first attempt",
             horizontal: "seconds",
             vertical: "milliseconds",
             maximumX,
             maximumY: 1_000,
-            series: [getTimes("median", 0.5), getTimes("90th of 100", 0.9)],
+            series: [getTimes("median", 0.5), getTimes("90th percentile", 0.9)],
         },
     ]);
 }
--- a/bench/experiment/mechanism.ts
+++ b/bench/experiment/mechanism.ts
@@ -1,14 +1,14 @@
-/** What an experiment can do without, to learn what it is worth. */
+/** Mechanisms that an experiment can switch off to measure their effect. */
 export const Mechanism = {
-    /** Faster exchange of loads among nodes where they contend for room. */
+    /** Gossip with more peers per round while nodes contend for engine memory. */
     News: "news",
-    /** Each node's own room at an endpoint; without it a node takes whatever its sums leave. */
+    /** Limits each node's use of an endpoint's free memory; without it, a node uses all memory that the loads it knows of leave free. */
     Room: "room",
-    /** A full endpoint is no lost one. */
+    /** Distinguishes full endpoints from unavailable ones. */
     Full: "full",
-    /** Callers that come back are told from new ones. */
+    /** Distinguishes retries from new requests. */
     Returns: "returns",
-    /** Those that can be in time go first, and who can't be served in time is turned away on arrival. */
+    /** Starts requests first that can still meet their objective, and refuses requests on arrival that can't be served in time. */
     Timeliness: "timeliness",
 } as const;
 export type Mechanism = typeof Mechanism[keyof typeof Mechanism];
--- a/bench/experiment/readExperiment.ts
+++ b/bench/experiment/readExperiment.ts
@@ -4,9 +4,9 @@
 import { type ExperimentSettings, experimentSettingsSchema } from "./experimentSettings.ts";
 
 /**
- * Reads the file of an experiment.
- * @param path - Its path.
- * @returns The settings, or all faults of the file, a line each.
+ * Reads an experiment file.
+ * @param path - Path of the file.
+ * @returns The settings, or all errors in the file, one per line.
  */
 export function readExperiment(path: string | URL): Result<ExperimentSettings, string> {
     const parsed = parseJsonc(readFileSync(path, "utf8"), experimentSettingsSchema);
--- a/bench/experiment/simulatedCaller.ts
+++ b/bench/experiment/simulatedCaller.ts
@@ -9,34 +9,34 @@
     clock: Clock;
     random: RandomSource;
     request: SimulatedRequest;
-    /** Sends the request to some node. */
+    /** Sends the request to a node. */
     send(request: SimulatedRequest, attempt: number, deadlineMilliseconds: number, sink: AnswerSink): void;
     onDone(outcome: CallerOutcome): void;
 }
 
-/** How it ended for a caller. */
+/** Outcome of a caller's request. */
 export interface CallerOutcome {
     sentAt: number;
     kind: "inAim" | "late" | "refused" | "failed";
-    /** Time to the first event from the first sending, in milliseconds; undefined where none came. */
+    /** Time from the first attempt to the first event, in milliseconds; undefined if there was none. */
     firstEventMilliseconds: number | undefined;
-    /** Whether it was turned away at first. */
+    /** Whether the first attempt was refused. */
     wasRefused: boolean;
 }
 
 const objectiveMilliseconds = 500;
-const longestGapMilliseconds = 200;
-/** A caller leaves a stream after this time without an event. */
-const leaveMilliseconds = 2_000;
-/** Callers wait for a time to come back of up to this part of what they have left. */
-const returnPart = 1 / 3;
-const mostAttempts = 2;
+const maximumGapMilliseconds = 200;
+/** Time without an event after which a caller closes its stream. */
+const silenceTimeoutMilliseconds = 2_000;
+/** Largest part of its remaining time that a caller waits before a retry. */
+const maximumRetryDelayFraction = 1 / 3;
+const maximumAttempts = 2;
 
-/** A caller: sends a request, comes back once where it is turned away, and leaves where events stay away. */
+/** A caller that sends a request, retries once after a refusal, and closes the stream if no events arrive. */
 export class SimulatedCaller {
     private readonly options: SimulatedCallerOptions;
     private readonly sentAt: number;
-    private readonly endsAt: number;
+    private readonly deadlineAt: number;
     private attempts = 0;
     private firstEventAt: number | undefined;
     private lastEventAt = 0;
@@ -46,7 +46,7 @@
     private constructor(options: SimulatedCallerOptions) {
         this.options = options;
         this.sentAt = options.clock.getMonotonicTime();
-        this.endsAt = this.sentAt + options.request.deadlineMilliseconds;
+        this.deadlineAt = this.sentAt + options.request.deadlineMilliseconds;
     }
 
     /** Sends the request. */
@@ -59,24 +59,24 @@
         this.attempts += 1;
         const attempt = this.attempts;
         let close: () => void = () => undefined;
-        const isPresent = () => attempt === this.attempts;
-        this.watch(() => {
+        const isCurrent = () => attempt === this.attempts;
+        this.restartSilenceTimer(() => {
             close();
             this.end("failed");
         });
-        send(request, attempt, Math.floor(this.endsAt - clock.getMonotonicTime()), {
+        send(request, attempt, Math.floor(this.deadlineAt - clock.getMonotonicTime()), {
             onClosed: callback => {
                 close = callback;
             },
             writeHead: () => undefined,
-            write: () => isPresent() && this.takeEvent(() => close()),
-            end: () => isPresent() && this.end(this.isInAim() ? "inAim" : "late"),
-            refuse: refusal => isPresent() && this.takeRefusal(refusal),
-            cut: () => isPresent() && this.end("failed"),
+            write: () => isCurrent() && this.handleEvent(() => close()),
+            end: () => isCurrent() && this.end(this.meetsObjectives() ? "inAim" : "late"),
+            refuse: refusal => isCurrent() && this.handleRefusal(refusal),
+            cut: () => isCurrent() && this.end("failed"),
         });
     }
 
-    private takeEvent(close: () => void): void {
+    private handleEvent(close: () => void): void {
         const now = this.options.clock.getMonotonicTime();
         if (this.firstEventAt === undefined) {
             this.firstEventAt = now;
@@ -85,32 +85,35 @@
             this.longestGap = Math.max(this.longestGap, now - this.lastEventAt);
         }
         this.lastEventAt = now;
-        this.watch(() => {
+        this.restartSilenceTimer(() => {
             close();
             this.end("failed");
         });
     }
 
-    private takeRefusal({ retryAfterMilliseconds }: RelayRefusal): void {
+    private handleRefusal({ retryAfterMilliseconds }: RelayRefusal): void {
         const { clock, random, request } = this.options;
-        if (retryAfterMilliseconds === undefined || this.attempts >= mostAttempts) {
+        if (retryAfterMilliseconds === undefined || this.attempts >= maximumAttempts) {
             this.end(retryAfterMilliseconds === undefined ? "failed" : "refused");
             return;
         }
         const isImpatient = random() < request.impatientPart;
-        const longest = (this.endsAt - clock.getMonotonicTime()) * returnPart;
+        const maximumDelay = (this.deadlineAt - clock.getMonotonicTime()) * maximumRetryDelayFraction;
         this.timer?.cancel();
-        this.timer = clock.setTimer(isImpatient ? 0 : Math.min(retryAfterMilliseconds, longest), () => this.send());
+        this.timer = clock.setTimer(
+            isImpatient ? 0 : Math.min(retryAfterMilliseconds, maximumDelay),
+            () => this.send(),
+        );
     }
 
-    private isInAim(): boolean {
+    private meetsObjectives(): boolean {
         const first = (this.firstEventAt ?? Infinity) - this.sentAt;
-        return first <= objectiveMilliseconds && this.longestGap <= longestGapMilliseconds;
+        return first <= objectiveMilliseconds && this.longestGap <= maximumGapMilliseconds;
     }
 
-    private watch(onSilent: () => void): void {
+    private restartSilenceTimer(onSilent: () => void): void {
         this.timer?.cancel();
-        this.timer = this.options.clock.setTimer(leaveMilliseconds, onSilent);
+        this.timer = this.options.clock.setTimer(silenceTimeoutMilliseconds, onSilent);
     }
 
     private end(kind: CallerOutcome["kind"]): void {
--- a/bench/experiment/simulatedEngine.ts
+++ b/bench/experiment/simulatedEngine.ts
@@ -7,21 +7,21 @@
 import { experimentModel as model } from "./experimentModel.ts";
 import type { SimulatedRun } from "./simulatedRun.ts";
 
-/** One endpoint of an experiment: its memory, its requests and how fast it is. */
+/** A simulated engine with its memory, runs and speed. */
 export class SimulatedEngine {
     readonly endpoint: RegisteredEndpoint;
     readonly layers: HeldLayers;
     readonly runs = new Set<SimulatedRun>();
-    /** Requests that wait for memory, of which it is the first stage. */
+    /** Runs that wait for memory and whose first stage is this engine. */
     readonly waiting: SimulatedRun[] = [];
     readonly totalTokenLayers: number;
     usedTokenLayers = 0;
     isLost = false;
     slowness = 1;
-    /** Nodes that can't reach it. */
+    /** Indexes of the nodes that can't reach the engine. */
     cutNodes: ReadonlySet<number> = new Set();
     private readonly kind: AcceleratorKind;
-    private readingUntil = 0;
+    private prefillEndsAt = 0;
 
     private constructor(endpoint: RegisteredEndpoint, layers: HeldLayers, kind: AcceleratorKind) {
         this.endpoint = endpoint;
@@ -30,31 +30,33 @@
         this.totalTokenLayers = getRequestMemory(model, kind, layers.end - layers.start);
     }
 
-    /** Creates an engine that holds layers and runs nothing. */
+    /** Creates an idle engine that holds a range of layers. */
     static create(endpoint: RegisteredEndpoint, layers: HeldLayers): SimulatedEngine {
         return new SimulatedEngine(endpoint, layers, model.kinds.get(endpoint.kind!)!);
     }
 
-    /** Whether there is memory for so many tokens of a request. */
+    /** Gets if there is free memory for a number of tokens. */
     hasRoom(tokens: number): boolean {
         return this.usedTokenLayers + this.getTokenLayers(tokens) <= this.totalTokenLayers;
     }
 
-    /** Gets the memory that tokens take here, in tokens times layers. */
+    /** Gets the memory that a number of tokens takes at this engine, in tokens times layers. */
     getTokenLayers(tokens: number): number {
         return tokens * (this.layers.end - this.layers.start);
     }
 
-    /** Gets the time of one event, of as many tokens as a pass has steps, in milliseconds. */
+    /** Gets the time to generate one event, in milliseconds. An event has one token for each step of a pass. */
     getEventMilliseconds(): number {
         const context = model.stepMillisecondsOfThousandTokens * getMeanContext(model) / 1_000;
         const step = model.stepMilliseconds + this.runs.size * (model.stepMillisecondsOfRequest + context);
-        return model.stepsOfPass * step * this.kind.stepFactor * this.slowness * this.getPart();
+        return model.stepsOfPass * step * this.kind.stepFactor * this.slowness * this.getLayerFraction();
     }
 
     /**
-     * Reads a prompt after those that are being read.
-     * @returns When it is read, in milliseconds.
+     * Prefills a prompt after the prompts that arrived before it.
+     * @param tokens - Length of the prompt.
+     * @param from - Time at which the prompt arrives, in milliseconds.
+     * @returns Time at which the prefill ends, in milliseconds.
      */
     readPrompt(tokens: number, from: number): number {
         const work = {
@@ -63,11 +65,11 @@
             requests: 0,
             slowness: this.slowness,
         };
-        this.readingUntil = Math.max(from, this.readingUntil) + estimatePrefill(model, work, tokens);
-        return this.readingUntil;
+        this.prefillEndsAt = Math.max(from, this.prefillEndsAt) + estimatePrefill(model, work, tokens);
+        return this.prefillEndsAt;
     }
 
-    private getPart(): number {
+    private getLayerFraction(): number {
         return (this.layers.end - this.layers.start) / model.layers;
     }
 }
--- a/bench/experiment/simulatedEngines.ts
+++ b/bench/experiment/simulatedEngines.ts
@@ -6,7 +6,7 @@
 import type { SimulatedEngine } from "./simulatedEngine.ts";
 import type { SimulatedRun } from "./simulatedRun.ts";
 
-/** What a sending asks for. */
+/** One attempt of a request, as a node sends it. */
 interface SentRequest {
     requestId: string;
     /** Addresses of the chain's engines. */
@@ -14,20 +14,20 @@
     promptTokens: number;
     /** Events of the whole answer. */
     events: number;
-    /** Id of the last event that the caller has. */
+    /** Id of the last event that the caller received. */
     lastEvent: number;
 }
 
 const networkMilliseconds = 1;
-/** A request waits for memory at its first stage at most this long, and is then refused. */
-const engineWaitMilliseconds = 700;
-/** Work that depends on a lost engine is cut off after this time. */
+/** Time that a request waits for memory at its first stage before it is refused. */
+const memoryWaitMilliseconds = 700;
+/** Time after which a request that depends on a lost engine is aborted. */
 const stallMilliseconds = 3_000;
 const connectTimeoutMilliseconds = 1_000;
 
-/** The engines of an experiment: they read prompts, make events, run out of memory and are lost, as the platform's do. */
+/** Engines that prefill prompts, generate events, run out of memory and fail, as those of the platform do. */
 export class SimulatedEngines {
-    /** Sendings that came, those refused, and requests given up in mid-stream for want of memory. */
+    /** Attempts sent, attempts refused, and preemptions in mid-stream for lack of memory. */
     readonly counts = { sent: 0, refused: 0, preempted: 0 };
     private readonly clock: Clock;
     private readonly byAddress = new Map<string, SimulatedEngine>();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Creates engines that run nothing. */
+    /** Creates a simulation of idle engines. */
     static create(clock: Clock, engines: readonly SimulatedEngine[]): SimulatedEngines {
         return new SimulatedEngines(clock, engines);
     }
@@ -65,22 +65,22 @@
             this.setTimer(
                 run,
                 connectTimeoutMilliseconds,
-                () => listener.onFailure({ kind: UpstreamFailureKind.NotSent, message: "No connection." }),
+                () => listener.onFailure({ kind: UpstreamFailureKind.NotSent, message: "The connection timed out." }),
             );
         }
         else {
             sentAt = this.clock.getMonotonicTime();
             this.setTimer(run, networkMilliseconds, () => this.admit(run));
         }
-        return { abort: () => this.leave(run), getSentTime: () => sentAt };
+        return { abort: () => this.removeRun(run), getSentTime: () => sentAt };
     }
 
-    /** Cuts off what depends on an engine that is lost. */
+    /** Marks an engine as lost and aborts the runs that depend on it. */
     loseEngine(engine: SimulatedEngine): void {
         engine.isLost = true;
         for (const run of [...engine.runs]) {
             this.setTimer(run, engine === run.engines[0] ? networkMilliseconds : stallMilliseconds, () => {
-                this.leave(run);
+                this.removeRun(run);
                 run.listener.onFailure({ kind: UpstreamFailureKind.Broken, message: "The connection was reset." });
             });
         }
@@ -94,7 +94,7 @@
         }
         if (!first!.hasRoom(run.promptTokens)) {
             first!.waiting.push(run);
-            this.setTimer(run, engineWaitMilliseconds, () => this.refuse(run, first!));
+            this.setTimer(run, memoryWaitMilliseconds, () => this.refuse(run, first!));
             return;
         }
         const full = rest.find(engine => !engine.hasRoom(run.promptTokens));
@@ -102,25 +102,25 @@
             this.refuse(run, full);
             return;
         }
-        this.read(run);
+        this.startPrefill(run);
     }
 
     private refuse(run: SimulatedRun, engine: SimulatedEngine): void {
         this.counts.refused += 1;
-        this.leave(run);
+        this.removeRun(run);
         run.listener.onHead(503, { "at-server": engine.endpoint.address });
         run.listener.onEnd();
     }
 
-    private read(run: SimulatedRun): void {
-        let at = this.clock.getMonotonicTime();
+    private startPrefill(run: SimulatedRun): void {
+        let prefilledAt = this.clock.getMonotonicTime();
         for (const engine of run.engines) {
             engine.runs.add(run);
             engine.usedTokenLayers += engine.getTokenLayers(run.promptTokens);
-            at = engine.readPrompt(run.promptTokens, at) + networkMilliseconds;
+            prefilledAt = engine.readPrompt(run.promptTokens, prefilledAt) + networkMilliseconds;
         }
         run.heldTokens = run.promptTokens;
-        this.setTimer(run, at - this.clock.getMonotonicTime(), () => this.writeEvent(run));
+        this.setTimer(run, prefilledAt - this.clock.getMonotonicTime(), () => this.writeEvent(run));
     }
 
     private writeEvent(run: SimulatedRun): void {
@@ -135,12 +135,12 @@
         }
         run.listener.onData(Buffer.from(`id: ${run.written}\ndata: x\n\n`));
         if (run.written >= run.events) {
-            this.leave(run);
+            this.removeRun(run);
             run.listener.onEnd();
             return;
         }
         for (const engine of run.engines) {
-            this.makeRoom(engine);
+            this.preemptRuns(engine);
         }
         if (run.engines[0]!.runs.has(run)) {
             this.setTimer(run, this.getEventMilliseconds(run), () => this.writeEvent(run));
@@ -160,33 +160,33 @@
         return time;
     }
 
-    /** Gives the newest requests up while an engine holds more than its memory. They are read again once there is room. */
-    private makeRoom(engine: SimulatedEngine): void {
+    /** Preempts the newest runs while an engine exceeds its memory. They are prefilled again once there is memory. */
+    private preemptRuns(engine: SimulatedEngine): void {
         while (engine.usedTokenLayers > engine.totalTokenLayers) {
             const newest = [...engine.runs].at(-1);
             if (newest === undefined) {
                 return;
             }
             this.counts.preempted += 1;
-            this.release(newest);
+            this.releaseMemory(newest);
             newest.promptTokens = newest.promptTokens + newest.written * model.stepsOfPass;
             newest.engines[0]!.waiting.unshift(newest);
             newest.timer?.cancel();
         }
     }
 
-    private leave(run: SimulatedRun): void {
+    private removeRun(run: SimulatedRun): void {
         run.timer?.cancel();
         for (const engine of run.engines) {
-            const at = engine.waiting.indexOf(run);
-            if (at !== -1) {
-                engine.waiting.splice(at, 1);
+            const index = engine.waiting.indexOf(run);
+            if (index !== -1) {
+                engine.waiting.splice(index, 1);
             }
         }
-        this.release(run);
+        this.releaseMemory(run);
     }
 
-    private release(run: SimulatedRun): void {
+    private releaseMemory(run: SimulatedRun): void {
         for (const engine of run.engines) {
             if (engine.runs.delete(run)) {
                 engine.usedTokenLayers -= engine.getTokenLayers(run.heldTokens);
@@ -194,16 +194,16 @@
         }
         run.heldTokens = 0;
         for (const engine of this.byAddress.values()) {
-            this.startWaiting(engine);
+            this.startNextWaiting(engine);
         }
     }
 
-    private startWaiting(engine: SimulatedEngine): void {
+    private startNextWaiting(engine: SimulatedEngine): void {
         const [next] = engine.waiting;
         if (next !== undefined && next.engines.every(other => other.hasRoom(next.promptTokens))) {
             engine.waiting.shift();
             next.timer?.cancel();
-            this.read(next);
+            this.startPrefill(next);
         }
     }
 
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -29,9 +29,9 @@
     without: ReadonlySet<Mechanism>;
 }
 
-const repeatPolicy = { ratio: 0.15, perSecond: 0.2, maximumBalance: 17 };
+const retryBudgetPolicy = { ratio: 0.15, perSecond: 0.2, maximumBalance: 17 };
 
-/** A node of an experiment: what decides in production, over simulated engines. */
+/** A node that runs the routing code of production on simulated engines. */
 export class SimulatedNode {
     readonly nodeId: string;
     readonly dataCentre: string;
@@ -75,7 +75,7 @@
                 chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
             }),
             quarantine,
-            repeats: RetryBudget.create(clock.getMonotonicTime(), () => repeatPolicy),
+            repeats: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines,
@@ -84,7 +84,7 @@
             pipeShares: PipeShares.create(() => loads.getDemandPart(queue.getDemand(), nodeCount)),
             getNodeCount: () => nodeCount,
         };
-        this.switchOff(loads, deadlines, queue);
+        this.switchOffMechanisms(loads, deadlines, queue);
     }
 
     /** Creates a node without requests. */
@@ -92,18 +92,18 @@
         return new SimulatedNode(options);
     }
 
-    /** Whether it speaks to more peers in a round. */
+    /** Gets if the node gossips with more peers per round. */
     isBusy(): boolean {
         return !this.without.has(Mechanism.News) && this.environment.queue.isBusy();
     }
 
     /** Exchanges state with a peer, in both directions. */
     exchangeWith(peer: SimulatedNode, now: number): void {
-        this.tell(peer, now);
-        peer.tell(this, now);
+        this.sendStateTo(peer, now);
+        peer.sendStateTo(this, now);
     }
 
-    private tell(peer: SimulatedNode, now: number): void {
+    private sendStateTo(peer: SimulatedNode, now: number): void {
         const { loads, health, quarantine, queue } = this.environment;
         const own = loads.getOwnLoads().map(load => ({ ...load }));
         peer.environment.loads.setPeerLoads(this.nodeId, own, queue.getDemand(), now);
@@ -115,7 +115,7 @@
         }
     }
 
-    private switchOff(loads: EndpointLoads, deadlines: UsualDeadlines, queue: RelayQueue): void {
+    private switchOffMechanisms(loads: EndpointLoads, deadlines: UsualDeadlines, queue: RelayQueue): void {
         if (this.without.has(Mechanism.Room)) {
             loads.getRoom = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
         }
--- a/bench/experiment/simulatedProtocol.ts
+++ b/bench/experiment/simulatedProtocol.ts
@@ -8,7 +8,7 @@
 const emptyBody = Buffer.alloc(0);
 const refusedStatus = 503;
 
-/** How nodes speak to simulated engines: a request's headers hold all that the engines need to know. */
+/** Protocol between nodes and simulated engines. The headers of a request hold everything that the engines need. */
 export const simulatedProtocol = {
     createRequest(request: RoutedRequest, { stages = [], lastEventId }: ForwardingContext) {
         const addresses = stages.map(({ endpoint }) => endpoint.address).join(",");
@@ -16,7 +16,7 @@
         return { method: "POST", target: "/", headers, body: emptyBody };
     },
 
-    /** Reads what {@link createRequest} wrote. The events of the answer stand in the place of the path. */
+    /** Reads the headers written by {@link createRequest}. The target of the request is the number of events in the answer. */
     readSent([requestId = "", addresses = "", promptTokens, events, lastEvent]: readonly string[]) {
         return {
             requestId,
@@ -41,7 +41,7 @@
     },
 
     createReportRequest: () => ({ method: "GET", target: "/", headers: [], body: emptyBody }),
-    readReport: () => Err("No reports are simulated."),
+    readReport: () => Err("Reports are not simulated."),
     createLayerOrder: () => ({ method: "POST", target: "/", headers: [], body: emptyBody }),
     createRerouteOrder: () => ({ method: "POST", target: "/", headers: [], body: emptyBody }),
     readOrderOutcome: () => ({ kind: "refused", faultyAddress: undefined }),
--- a/bench/experiment/simulatedRequest.ts
+++ b/bench/experiment/simulatedRequest.ts
@@ -1,14 +1,14 @@
-/** A request of an experiment's load. */
+/** A request of a simulated load. */
 export interface SimulatedRequest {
     id: string;
     customer: string;
     promptTokens: number;
-    /** Events of its answer. */
+    /** Number of events in the answer. */
     events: number;
-    /** Its caller's estimate of the answer's tokens. */
+    /** The caller's estimate of the number of tokens in the answer. */
     expectedAnswerTokens: number;
-    /** How long its caller waits, in milliseconds. */
+    /** Time that the caller waits for the answer, in milliseconds. */
     deadlineMilliseconds: number;
-    /** Chance that its caller comes back at once. */
+    /** Probability that the caller retries at once after a refusal. */
     impatientPart: number;
 }
--- a/bench/experiment/simulatedRun.ts
+++ b/bench/experiment/simulatedRun.ts
@@ -2,17 +2,18 @@
 import type { TimerHandle } from "../../src/process/clock.ts";
 import type { SimulatedEngine } from "./simulatedEngine.ts";
 
-/** One sending of a request to a chain of engines. */
+/** One attempt of a request on a chain of engines. */
 export interface SimulatedRun {
     requestId: string;
     engines: SimulatedEngine[];
     promptTokens: number;
-    /** Events of the whole answer, and of those that came. */
+    /** Number of events in the whole answer, and of events written so far. */
     events: number;
     written: number;
-    /** Tokens that are in memory. */
+    /** Tokens that take up memory at the engines. */
     heldTokens: number;
     listener: UpstreamListener;
     timer: TimerHandle | undefined;
+    /** Whether the head of the response was sent. */
     hasHead: boolean;
 }
--- a/bench/experiment/summarizeRuns.ts
+++ b/bench/experiment/summarizeRuns.ts
@@ -1,30 +1,31 @@
 import { getQuantile } from "../admission/getQuantile.ts";
 import type { ExperimentResult, ExperimentWindow } from "./experimentResult.ts";
 
-/** What several seeds of an experiment have in common. */
+/** Summary of an experiment's runs over several seeds. */
 export interface RunSummary {
-    /** Part of the requests that were served in time, 0 to 1, over all windows: median, least and most over the seeds. */
+    /** Fraction of the requests that were served in time, 0 to 1: median, minimum and maximum over the seeds. */
     goodput: { median: number; least: number; most: number; };
-    /** In time in the worst window of the load's height, as a part of the best one. */
+    /** Requests served in time in the worst window at peak load, as a fraction of the best one. */
     worstOfBest: number;
-    /** Sendings that engines refused, and requests given up in mid-stream, as a part of all sendings. */
+    /** Attempts that engines refused, and preemptions in mid-stream, as fractions of all attempts. */
     refusedPart: number;
     preemptedPart: number;
-    /** Of those that came back, the part that was served. */
+    /** Fraction of the retried requests that were served. */
     servedReturnPart: number;
+    /** Median of {@link ExperimentResult.customerShortfall} over the seeds. */
     customerShortfall: number;
     /** Windows, summed over the seeds. */
     windows: ExperimentWindow[];
 }
 
-/** Sums the runs of several seeds up. */
+/** Summarizes the runs of several seeds. */
 export function summarizeRuns(results: readonly ExperimentResult[]): RunSummary {
     const goodputs = results.map(getGoodput);
     const windows = sumWindows(results);
     const peak = Math.max(...windows.map(({ asked }) => asked));
-    // The height of the load, without its first window, in which what is known of the load is old.
-    const high = windows.filter(({ asked }) => asked > 0.8 * peak).slice(1);
-    const inAim = high.map(window => window.inAim);
+    // The windows at peak load without the first one, in which the nodes still work with outdated loads.
+    const peakWindows = windows.filter(({ asked }) => asked > 0.8 * peak).slice(1);
+    const inAim = peakWindows.map(window => window.inAim);
     const total = (getCount: (result: ExperimentResult) => number) =>
         results.reduce((sum, result) => sum + getCount(result), 0);
     const sent = total(result => result.sent);
--- a/bench/policy/computeFleetBound.ts
+++ b/bench/policy/computeFleetBound.ts
@@ -6,7 +6,7 @@
 import { EngineStandin } from "./engineStandin.ts";
 import type { Fleet } from "./fleet.ts";
 
-/** Computes the bound of a fleet from the engines' true speeds, with nodes spread evenly over the data centres. */
+/** Computes the throughput bound of a fleet by a maximum flow over the engines' actual speeds, with nodes spread evenly over the data centres. */
 export function computeFleetBound({ configuration, speeds }: Fleet): FlowBound {
     const clock = VirtualClock.create();
     const endpoints = Object.entries(configuration.endpoints);
@@ -17,8 +17,8 @@
             demand: 1,
             graph: LayeredGraph.create(
                 layers,
-                endpoints.flatMap(([endpoint, held]) =>
-                    held.layers.filter(range => range.model === name).map(({ start, end }) => ({
+                endpoints.flatMap(([endpoint, endpointConfiguration]) =>
+                    endpointConfiguration.layers.filter(range => range.model === name).map(({ start, end }) => ({
                         endpoint,
                         start,
                         end,
@@ -28,8 +28,8 @@
         })),
         endpoints: new Map(endpoints.map(([name, { dataCentre, layers }]) => {
             const speed = speeds.get(name);
-            const held = layers.reduce((sum, range) => sum + range.end - range.start, 0);
-            const rate = speed === undefined ? 0 : EngineStandin.create(clock, speed, held).getRate();
+            const heldLayers = layers.reduce((sum, range) => sum + range.end - range.start, 0);
+            const rate = speed === undefined ? 0 : EngineStandin.create(clock, speed, heldLayers).getRate();
             return [name, { dataCentre, rate }];
         })),
         links: LinkTable.create(configuration),
--- a/bench/policy/decisionCost.ts
+++ b/bench/policy/decisionCost.ts
@@ -5,9 +5,9 @@
 import type { Policy } from "./policy.ts";
 
 const warmupDecisions = 2_000;
-const decisions = 4_000;
+const measuredDecisions = 4_000;
 
-/** Cost of one decision in microseconds, on the machine that ran it. */
+/** Time of one decision in microseconds, on the machine that ran it. */
 export interface DecisionCost {
     policy: string;
     runners: number;
@@ -17,7 +17,7 @@
     percentile99: number;
 }
 
-/** Measures a choice with its reservation, among running sequences that end in turn. */
+/** Measures the time to choose and reserve a chain while up to 100 earlier sequences run. */
 export function measureDecisionCost(policy: Policy, runners: number, models: number): DecisionCost {
     const fleet = createFleet(runners, models, createSeededRandom(1));
     const random = createSeededRandom(2);
@@ -35,7 +35,7 @@
     }, fleet);
     const running = [];
     const costs: number[] = [];
-    for (let index = 0; index < warmupDecisions + decisions; index++) {
+    for (let index = 0; index < warmupDecisions + measuredDecisions; index++) {
         now += 1;
         const options: ChainOptions = {
             model: `model${index % models}`,
@@ -44,10 +44,10 @@
             excluded: new Set(),
             preferred: new Set(),
         };
-        const started = performance.now();
+        const startedAt = performance.now();
         const chain = chooser.chooseChain(options).unwrap();
         chooser.reserveChain(chain);
-        costs.push((performance.now() - started) * 1_000);
+        costs.push((performance.now() - startedAt) * 1_000);
         running.push(chain);
         for (const { endpoint, layerStart, layerEnd } of chain.stages) {
             const layers = layerEnd - layerStart;
--- a/bench/policy/drawPlots.ts
+++ b/bench/policy/drawPlots.ts
@@ -12,17 +12,19 @@
     points: readonly (readonly [x: number, y: number])[];
 }
 
-/** One plot of a drawing. */
+/** A plot with one or more lines. */
 export interface Plot {
     title: string;
+    /** Label of the horizontal axis. */
     horizontal: string;
+    /** Label of the vertical axis. */
     vertical: string;
     maximumX: number;
     maximumY: number;
     series: readonly PlotSeries[];
 }
 
-/** Draws plots one below the other as an SVG document. */
+/** Draws plots below each other as an SVG document. */
 export function drawPlots(plots: readonly Plot[]): string {
     const body = plots.map((plot, index) => `<g transform="translate(0 ${index * height})">${drawPlot(plot)}</g>`);
     return `<svg xmlns="http://www.w3.org/2000/svg" width="${width}" height="${height * plots.length}" `
--- a/bench/policy/engineSpeed.ts
+++ b/bench/policy/engineSpeed.ts
@@ -1,9 +1,9 @@
-/** How fast a stand-in engine is: a step takes base + perLayer x layers + perWork x (positions x layers). */
+/** Speed of a stand-in engine. A step takes base + perLayer x layers + perWork x (positions x layers). */
 export interface EngineSpeed {
     accelerator: string;
     baseMilliseconds: number;
     perLayerMilliseconds: number;
     perWorkMilliseconds: number;
-    /** Positions that one step serves at most in one layer. */
+    /** Maximum number of positions that one step processes in a layer. */
     batchPositions: number;
 }
--- a/bench/policy/engineStandin.ts
+++ b/bench/policy/engineStandin.ts
@@ -9,23 +9,23 @@
     finish: (queue: number) => void;
 }
 
-/** Passes that a step looks at, in batches: later ones wait even where they would fit. */
-const passesLookedAt = 2;
+/** Number of batches of waiting passes that a step considers. Later passes wait even if they would fit. */
+const consideredBatches = 2;
 
 /**
- * An engine that batches continuously: a step sweeps over the layers that waiting passes need and serves the waiting
- * positions at once, up to the batch limit in each layer.
+ * An engine with continuous batching: a step runs the layers that waiting passes need and processes the waiting
+ * positions together, up to the batch limit in each layer.
  */
 export class EngineStandin {
     readonly speed: EngineSpeed;
-    /** Layers that the engine holds. */
+    /** Number of layers that the engine holds. */
     private readonly layers: number;
-    /** Sequences that hold memory; the driver counts them. */
+    /** Number of sequences that hold memory, counted by the load driver. */
     sequences = 0;
     private readonly clock: Clock;
     private waiting: WaitingPass[] = [];
     private isStepping = false;
-    /** Positions of the step in each layer. */
+    /** Number of positions of the current step in each layer. */
     private readonly occupied = new Int32Array(32);
 
     private constructor(clock: Clock, speed: EngineSpeed, layers: number) {
@@ -44,7 +44,7 @@
         return this.waiting.length;
     }
 
-    /** Positions times layers a second, at the largest batch over all layers. */
+    /** Gets the throughput with full batches in all layers, in positions times layers per second. */
     getRate(): number {
         const work = this.speed.batchPositions * this.layers;
         return work * 1_000 / this.getStepTime(this.layers, work);
@@ -64,42 +64,42 @@
         return baseMilliseconds + perLayerMilliseconds * layers + perWorkMilliseconds * work;
     }
 
-    /** Runs one step: the oldest passes, as many as fit; a long prompt takes a quarter of the batch at first. */
+    /** Runs one step with the oldest passes that fit. At first, a pass gets at most a quarter of the batch, so that a long prompt doesn't fill it. */
     private step(): void {
         const { batchPositions } = this.speed;
         this.occupied.fill(0);
-        const looked = this.waiting.slice(0, passesLookedAt * batchPositions);
+        const considered = this.waiting.slice(0, consideredBatches * batchPositions);
         let work = 0;
         const largestWork = batchPositions * this.layers;
         for (const limit of [Math.ceil(batchPositions / 4), batchPositions]) {
-            for (const pass of looked) {
+            for (const pass of considered) {
                 if (work === largestWork) {
                     break;
                 }
-                work += this.take(pass, limit) * (pass.layerEnd - pass.layerStart);
+                work += this.addToStep(pass, limit) * (pass.layerEnd - pass.layerStart);
             }
         }
         let layers = 0;
         for (const positions of this.occupied) {
             layers += positions > 0 ? 1 : 0;
         }
-        this.clock.setTimer(this.getStepTime(layers, work), () => this.finishStep(looked));
+        this.clock.setTimer(this.getStepTime(layers, work), () => this.finishStep(considered));
     }
 
-    /** Takes positions of a pass into the step, as its fullest layer allows, and returns their number. */
-    private take(pass: WaitingPass, limit: number): number {
-        let room = Math.min(limit, pass.positions);
-        if (room === 0) {
+    /** Adds as many positions of a pass to the step as its fullest layer allows, and returns their number. */
+    private addToStep(pass: WaitingPass, limit: number): number {
+        let positions = Math.min(limit, pass.positions);
+        if (positions === 0) {
             return 0;
         }
-        for (let layer = pass.layerStart; layer < pass.layerEnd && room > 0; layer++) {
-            room = Math.min(room, this.speed.batchPositions - (this.occupied[layer] ?? 0));
+        for (let layer = pass.layerStart; layer < pass.layerEnd && positions > 0; layer++) {
+            positions = Math.min(positions, this.speed.batchPositions - (this.occupied[layer] ?? 0));
         }
         for (let layer = pass.layerStart; layer < pass.layerEnd; layer++) {
-            this.occupied[layer] = (this.occupied[layer] ?? 0) + room;
+            this.occupied[layer] = (this.occupied[layer] ?? 0) + positions;
         }
-        pass.positions -= room;
-        return room;
+        pass.positions -= positions;
+        return positions;
     }
 
     private finishStep(batch: readonly WaitingPass[]): void {
--- a/bench/policy/fleet.ts
+++ b/bench/policy/fleet.ts
@@ -4,14 +4,14 @@
 import type { EngineSpeed } from "./engineSpeed.ts";
 
 const layers = 32;
-/** Bytes of one position's activations: 8,192 numbers of two bytes. */
+/** Size of the activations of one position: 8,192 numbers of two bytes. */
 const hiddenBytes = 16_384;
-/** Part of the endpoints whose step time the configuration knows. */
-const knownStepTimes = 0.4;
-/** Part of the engines that the true speeds spread around their kind's, up and down. */
-const speedSpread = 0.2;
+/** Fraction of the endpoints whose step time is configured. */
+const configuredStepTimeFraction = 0.4;
+/** Largest relative deviation of an engine's step time from that of its kind. */
+const maximumSpeedDeviation = 0.2;
 
-/** The four kinds of accelerators, with the layers that an engine of the kind holds. */
+/** Kinds of accelerators, with the number of layers that an engine of the kind holds. */
 const kinds = [
     { accelerator: "large", perLayerMilliseconds: 1, batchPositions: 12, layers: 16 },
     { accelerator: "medium", perLayerMilliseconds: 1.6, batchPositions: 8, layers: 12 },
@@ -21,7 +21,7 @@
 
 const dataCentres = ["a", "b", "c"] as const;
 
-/** A made-up fleet: what the nodes are told, and what the engines truly are. */
+/** A generated fleet: the configuration and states that the nodes see, and the actual speeds of the engines. */
 export interface Fleet {
     configuration: Configuration;
     speeds: ReadonlyMap<string, EngineSpeed>;
@@ -29,10 +29,10 @@
 }
 
 /**
- * Makes a fleet of four kinds of accelerators in three data centres, whose links differ a hundredfold.
+ * Creates a fleet of four kinds of accelerators in three data centres whose links differ by a factor of 100.
  * @param runners - Number of engines.
- * @param models - Number of models; the engines are dealt out to them in turn.
- * @param random - Source of the engines' speeds and of what the configuration knows.
+ * @param models - Number of models; engines are assigned to them in turn.
+ * @param random - Random source for the speeds, data centres and configured step times of the engines.
  */
 export function createFleet(runners: number, models: number, random: RandomSource): Fleet {
     const endpoints: Record<string, EndpointConfiguration> = {};
@@ -46,7 +46,7 @@
         const start = (nextLayer.get(model + kind.accelerator) ?? 0) % layers;
         const end = Math.min(layers, start + kind.layers);
         nextLayer.set(model + kind.accelerator, end);
-        const perLayerMilliseconds = kind.perLayerMilliseconds * (1 + speedSpread * (2 * random() - 1));
+        const perLayerMilliseconds = kind.perLayerMilliseconds * (1 + maximumSpeedDeviation * (2 * random() - 1));
         speeds.set(name, {
             accelerator: kind.accelerator,
             baseMilliseconds: 0.5,
@@ -62,7 +62,7 @@
             layers: [{ model, start, end }],
             checksFencing: true,
             maximumSequences: kind.batchPositions * 64,
-            stepMillisecondsPerLayer: random() < knownStepTimes ? perLayerMilliseconds : undefined,
+            stepMillisecondsPerLayer: random() < configuredStepTimeFraction ? perLayerMilliseconds : undefined,
         };
     }
     return { configuration: createConfiguration(models, endpoints), speeds, states: createStates(endpoints) };
--- a/bench/policy/greedyChooser.ts
+++ b/bench/policy/greedyChooser.ts
@@ -4,21 +4,21 @@
 import { Err, Ok, type Result } from "../../src/result.ts";
 import type { Configuration } from "../../src/version/configuration.ts";
 
-/** Ranks an endpoint for the next stage; the lowest rank is taken. */
+/** Ranks an endpoint for the next stage; the lowest rank is chosen. */
 export type RankEndpoint = (load: Readonly<GreedyLoad>) => number;
 
-/** What a {@link GreedyChooser} counts of an endpoint. */
+/** Load of an endpoint as seen by a {@link GreedyChooser}. */
 export interface GreedyLoad {
-    /** Sequences of the last report. */
+    /** Number of sequences in the last load report. */
     reported: number;
-    /** This node's sequences now. */
+    /** Number of sequences that this node runs. */
     own: number;
-    /** Times that this node has chosen the endpoint. */
+    /** Number of times that this node has chosen the endpoint. */
     chosen: number;
     maximumSequences: number;
 }
 
-/** A baseline: from layer 0 on, takes the lowest ranked endpoint that holds the next layer, as far as it holds. */
+/** A baseline that builds a chain from layer 0 on. Each stage is the endpoint of lowest rank that holds the next layer, and runs all layers that the endpoint holds from there on. */
 export class GreedyChooser implements ChainChooser {
     private readonly configuration: Configuration;
     private readonly rank: RankEndpoint;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Creates a chooser that knows no loads.
+     * Creates a chooser without load data.
      * @param configuration - Endpoints and models to choose from.
      * @param rank - Ranks an endpoint by its load; the lowest is chosen.
      */
@@ -41,7 +41,7 @@
         return new GreedyChooser(configuration, rank);
     }
 
-    /** Chooses the stages one after the other, each for the first layer that is still missing. */
+    /** Chooses the stages one by one, each for the first layer that is still missing. */
     chooseChain({ model }: ChainOptions): Result<Chain, NoChainError> {
         const layers = this.configuration.models[model]?.layers ?? 0;
         const stages: ChainStage[] = [];
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Gives the places of a chain back. */
+    /** Removes a sequence at each endpoint of a chain. */
     releaseChain({ stages }: Chain): void {
         for (const { endpoint } of stages) {
             const load = this.loads.get(endpoint);
@@ -78,12 +78,12 @@
         }
     }
 
-    /** Does nothing: a baseline does not learn from the times of passes. */
+    /** Does nothing. The baseline doesn't use the times of passes. */
     observePass(): void {
-        // Nothing to learn.
+        // Not used.
     }
 
-    /** Takes an endpoint's report of its sequences. */
+    /** Stores the number of sequences that an endpoint reports. */
     observeLoad(report: LoadReport): void {
         const load = this.loads.get(report.endpoint);
         if (load !== undefined) {
@@ -91,9 +91,9 @@
         }
     }
 
-    /** Does nothing: a baseline does not learn from failures. */
+    /** Does nothing. The baseline doesn't use failures. */
     observeFailure(): void {
-        // Nothing to learn.
+        // Not used.
     }
 
     private chooseStage(model: string, layer: number): ChainStage | undefined {
--- a/bench/policy/linkStandin.ts
+++ b/bench/policy/linkStandin.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../../src/process/clock.ts";
 import type { LinkTable } from "../../src/request/chain/linkTable.ts";
 
-/** Links that carry one message after the other each way, at their bandwidth, and delay them by their latency. */
+/** Stand-in for the links between data centres. In each direction, a link sends one message at a time at its bandwidth and delivers it after its latency. */
 export class LinkStandin {
     private readonly clock: Clock;
     private readonly links: LinkTable;
@@ -12,18 +12,18 @@
         this.links = links;
     }
 
-    /** Creates links that are all idle. */
+    /** Creates idle links. */
     static create(clock: Clock, links: LinkTable): LinkStandin {
         return new LinkStandin(clock, links);
     }
 
-    /** Sends bytes and calls back on their arrival. */
+    /** Sends a number of bytes and calls back when they arrive. */
     send(from: string, to: string, bytes: number, callback: () => void): void {
         const now = this.clock.getMonotonicTime();
         const link = this.links.getLink(from, to);
         const key = `${from}/${to}`;
-        const sent = Math.max(now, this.busyUntil.get(key) ?? 0) + bytes / link.bytesPerMillisecond;
-        this.busyUntil.set(key, sent);
-        this.clock.setTimer(sent - now + link.latencyMilliseconds, callback);
+        const sentAt = Math.max(now, this.busyUntil.get(key) ?? 0) + bytes / link.bytesPerMillisecond;
+        this.busyUntil.set(key, sentAt);
+        this.clock.setTimer(sentAt - now + link.latencyMilliseconds, callback);
     }
 }
--- a/bench/policy/loadDriver.ts
+++ b/bench/policy/loadDriver.ts
@@ -10,24 +10,24 @@
 import type { Policy } from "./policy.ts";
 import { TokenRecorder } from "./tokenRecorder.ts";
 
-/** Bytes of one token on a link. */
+/** Size of one token on a link. */
 const tokenBytes = 4;
 const reportIntervalMilliseconds = 200;
-/** Data centres of the nodes, which decide apart. */
+/** Data centre of each node. The nodes decide independently. */
 const nodeDataCentres = ["a", "b", "c", "a", "b", "c"] as const;
-/** Time over which the requests of a run at saturation start. */
-const startMilliseconds = 40_000;
+/** Period over which the requests of a run at saturation start. */
+const rampUpMilliseconds = 40_000;
 
-/** One run of a policy. */
+/** Options for a run of a policy. */
 export interface LoadDriverOptions {
     fleet: Fleet;
     policy: Policy;
     seed: number;
     /** Lag of the load reports, in milliseconds. */
     lagMilliseconds: number;
-    /** Requests a second that arrive at random; 0 for a fixed number of running requests. */
+    /** Rate of Poisson arrivals, in requests per second; 0 to keep a fixed number of requests running. */
     requestsPerSecond: number;
-    /** Requests that run at all times, where none arrive at random. */
+    /** Number of requests to keep running if there are no Poisson arrivals. */
     runningRequests: number;
     warmupMilliseconds: number;
     measuredMilliseconds: number;
@@ -46,7 +46,7 @@
     tokensLeft: number;
 }
 
-/** Drives several nodes' choosers with made-up requests over stand-in engines, under a virtual clock. */
+/** Drives the choosers of several nodes with generated requests to stand-in engines, in virtual time. */
 export class LoadDriver {
     private readonly options: LoadDriverOptions;
     private readonly clock = VirtualClock.create();
@@ -78,7 +78,7 @@
         }));
     }
 
-    /** Runs once and returns what was measured. */
+    /** Runs a load and returns its throughput and latencies. */
     static run(options: LoadDriverOptions): ReturnType<TokenRecorder["getResult"]> {
         const driver = new LoadDriver(options);
         driver.start();
@@ -87,13 +87,13 @@
     }
 
     private start(): void {
-        this.clock.setTimer(0, () => this.report());
+        this.clock.setTimer(0, () => this.reportLoads());
         if (this.options.requestsPerSecond > 0) {
             this.scheduleArrival();
             return;
         }
         for (let index = 0; index < this.options.runningRequests; index++) {
-            this.clock.setTimer(this.random() * startMilliseconds, () => this.startSequence());
+            this.clock.setTimer(this.random() * rampUpMilliseconds, () => this.startSequence());
         }
     }
 
@@ -117,7 +117,7 @@
             preferred: new Set(),
         }).unwrap();
         node.chooser.reserveChain(chain);
-        this.countSequences(chain, 1);
+        this.updateSequences(chain, 1);
         const now = this.clock.getMonotonicTime();
         this.runStage({ node, chain, arrival: now, lastToken: -1, tokensLeft }, 0, positions);
     }
@@ -125,18 +125,19 @@
     private runStage(sequence: Sequence, index: number, positions: number): void {
         const stage = sequence.chain.stages[index] as ChainStage;
         const { hiddenBytes } = Object.values(this.options.fleet.configuration.models)[0] ?? { hiddenBytes: 0 };
-        const home = sequence.node.dataCentre;
-        const away = this.options.fleet.configuration.endpoints[stage.endpoint]?.dataCentre ?? home;
+        const nodeDataCentre = sequence.node.dataCentre;
+        const engineDataCentre = this.options.fleet.configuration.endpoints[stage.endpoint]?.dataCentre
+            ?? nodeDataCentre;
         const isLast = index === sequence.chain.stages.length - 1;
         const layers = stage.layerEnd - stage.layerStart;
-        const sent = this.clock.getMonotonicTime();
+        const sentAt = this.clock.getMonotonicTime();
         const finish = (queue: number) => {
-            this.links.send(away, home, isLast ? tokenBytes : positions * hiddenBytes, () => {
+            this.links.send(engineDataCentre, nodeDataCentre, isLast ? tokenBytes : positions * hiddenBytes, () => {
                 sequence.node.chooser.observePass({
                     endpoint: stage.endpoint,
                     layers,
                     positions,
-                    elapsedMilliseconds: this.clock.getMonotonicTime() - sent,
+                    elapsedMilliseconds: this.clock.getMonotonicTime() - sentAt,
                     queue,
                 });
                 if (isLast) {
@@ -147,7 +148,7 @@
                 }
             });
         };
-        this.links.send(home, away, positions * (index === 0 ? tokenBytes : hiddenBytes), () => {
+        this.links.send(nodeDataCentre, engineDataCentre, positions * (index === 0 ? tokenBytes : hiddenBytes), () => {
             this.engines.get(stage.endpoint)?.addPass({
                 positions,
                 layerStart: stage.layerStart,
@@ -168,13 +169,13 @@
             return;
         }
         sequence.node.chooser.releaseChain(sequence.chain);
-        this.countSequences(sequence.chain, -1);
+        this.updateSequences(sequence.chain, -1);
         if (this.options.requestsPerSecond === 0) {
             this.startSequence();
         }
     }
 
-    private countSequences(chain: Chain, change: number): void {
+    private updateSequences(chain: Chain, change: number): void {
         for (const stage of chain.stages) {
             const engine = this.engines.get(stage.endpoint);
             if (engine !== undefined) {
@@ -183,8 +184,8 @@
         }
     }
 
-    /** Takes all engines' load now and tells the nodes after the lag. */
-    private report(): void {
+    /** Samples the loads of all engines and reports them to the nodes after the lag. */
+    private reportLoads(): void {
         const ageMilliseconds = this.options.lagMilliseconds;
         const reports = [...this.engines].map(([endpoint, { queue, sequences }]) => ({
             endpoint,
@@ -200,6 +201,6 @@
                 }
             }
         });
-        this.clock.setTimer(reportIntervalMilliseconds, () => this.report());
+        this.clock.setTimer(reportIntervalMilliseconds, () => this.reportLoads());
     }
 }
--- a/bench/policy/main.ts
+++ b/bench/policy/main.ts
@@ -1,5 +1,5 @@
 /**
- * Compares the policies for choosing chains on the same seeds: `npm run bench:policy`. `--json` prints the figures as
+ * Compares policies for choosing chains on the same seeds: `npm run bench:policy`. `--json` prints the figures as
  * JSON. Writes the plot to docs/design/policy.svg.
  */
 import { writeFileSync } from "node:fs";
@@ -10,24 +10,24 @@
 import { runScenario, type ScenarioResult } from "./scenario.ts";
 
 const plotFile = new URL("../../docs/design/policy.svg", import.meta.url);
-const firstFleet = 1;
-const usualLag = 1_000;
-/** Fleet and lag of the reports in milliseconds. */
-const cells = [[1, 1_000], [1, 200], [1, 5_000], [2, 1_000], [3, 1_000]] as const;
+const usualFleetSeed = 1;
+const usualLagMilliseconds = 1_000;
+/** Seed of the fleet, and lag of the load reports in milliseconds. */
+const cases = [[1, 1_000], [1, 200], [1, 5_000], [2, 1_000], [3, 1_000]] as const;
 const loads = [0.25, 0.5, 0.75, 0.9];
 
 const saturated = policies.flatMap(policy =>
-    cells.filter(cell => isNeeded(policy.name, cell)).map(([fleetSeed, lagMilliseconds]) =>
+    cases.filter(scenario => isNeeded(policy.name, scenario)).map(([fleetSeed, lagMilliseconds]) =>
         runScenario({ policy, fleetSeed, lagMilliseconds })
     )
 );
 const halfLoad = policies.flatMap(policy =>
-    cells.filter(cell => isNeeded(policy.name, cell)).map(([fleetSeed, lagMilliseconds]) =>
+    cases.filter(scenario => isNeeded(policy.name, scenario)).map(([fleetSeed, lagMilliseconds]) =>
         runScenario({ policy, fleetSeed, lagMilliseconds, load: 0.5 })
     )
 );
 const sweep = policies.flatMap(policy =>
-    loads.map(load => runScenario({ policy, fleetSeed: firstFleet, lagMilliseconds: usualLag, load }))
+    loads.map(load => runScenario({ policy, fleetSeed: usualFleetSeed, lagMilliseconds: usualLagMilliseconds, load }))
 );
 const costs = policies.flatMap(policy =>
     ([[30, 1], [300, 4], [1_200, 14]] as const).map(([runners, models]) => measureDecisionCost(policy, runners, models))
@@ -45,10 +45,10 @@
             series: policies.map(({ name }) => ({
                 name,
                 points: [
-                    ...sweep.filter(cell => cell.policy === name).map(cell =>
-                        [cell.load ?? 0, cell.partOfBound] as const
+                    ...sweep.filter(scenario => scenario.policy === name).map(scenario =>
+                        [scenario.load ?? 0, scenario.partOfBound] as const
                     ),
-                    [1.2, saturated.find(cell => isUsualCell(cell, name))?.partOfBound ?? 0] as const,
+                    [1.2, saturated.find(scenario => isUsualScenario(scenario, name))?.partOfBound ?? 0] as const,
                 ],
             })),
         },
@@ -60,8 +60,8 @@
             maximumY: 800,
             series: policies.map(({ name }) => ({
                 name,
-                points: sweep.filter(cell => cell.policy === name)
-                    .map(cell => [cell.load ?? 0, cell.betweenTokens[1] ?? 0] as const),
+                points: sweep.filter(scenario => scenario.policy === name)
+                    .map(scenario => [scenario.load ?? 0, scenario.betweenTokens[1] ?? 0] as const),
             })),
         },
     ]),
@@ -71,13 +71,13 @@
     console.log(JSON.stringify({ saturated, halfLoad, sweep, costs }, undefined, 2));
 }
 else {
-    console.log("At saturation (2,400 requests run at all times):\n");
+    console.log("At saturation (2,400 running requests at all times):\n");
     console.log(formatScenarios(saturated));
     console.log("\nAt half load:\n");
     console.log(formatScenarios(halfLoad));
-    console.log("\nAgainst load (fleet 1, reports 1 s old):\n");
+    console.log("\nBy offered load (fleet 1, reports 1 s old):\n");
     console.log(formatScenarios(sweep));
-    console.log("\nCost of a decision with its reservation:\n");
+    console.log("\nTime to choose and reserve a chain:\n");
     console.log(formatTable(
         ["policy", "runners", "models", "mean us", "median us", "99th us"],
         costs.map(cost => [
@@ -89,28 +89,29 @@
     ));
 }
 
-/** Round robin reads no reports, so one lag shows all. */
+/** Round robin doesn't use load reports, so that one lag is enough. */
 function isNeeded(policy: string, [, lagMilliseconds]: readonly [number, number]): boolean {
-    return policy !== "round robin" || lagMilliseconds === usualLag;
+    return policy !== "round robin" || lagMilliseconds === usualLagMilliseconds;
 }
 
-function isUsualCell(cell: ScenarioResult, policy: string): boolean {
-    return cell.policy === policy && cell.fleetSeed === firstFleet && cell.lagMilliseconds === usualLag;
+function isUsualScenario(scenario: ScenarioResult, policy: string): boolean {
+    return scenario.policy === policy && scenario.fleetSeed === usualFleetSeed
+        && scenario.lagMilliseconds === usualLagMilliseconds;
 }
 
 function formatScenarios(results: readonly ScenarioResult[]): string {
     const formatTimes = (times: readonly number[]) => times.map(time => time.toFixed(0)).join(" / ");
     return formatTable(
         ["policy", "fleet", "lag s", "load", "tokens/s", "of bound", "first token ms", "between tokens ms"],
-        results.map(cell => [
-            cell.policy,
-            String(cell.fleetSeed),
-            String(cell.lagMilliseconds / 1_000),
-            cell.load === undefined ? "full" : String(cell.load),
-            cell.tokensPerSecond.toFixed(0),
-            cell.partOfBound.toFixed(3),
-            formatTimes(cell.firstToken),
-            formatTimes(cell.betweenTokens),
+        results.map(scenario => [
+            scenario.policy,
+            String(scenario.fleetSeed),
+            String(scenario.lagMilliseconds / 1_000),
+            scenario.load === undefined ? "full" : String(scenario.load),
+            scenario.tokensPerSecond.toFixed(0),
+            scenario.partOfBound.toFixed(3),
+            formatTimes(scenario.firstToken),
+            formatTimes(scenario.betweenTokens),
         ]),
     );
 }
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -5,7 +5,7 @@
 import { selectAll } from "./selectAll.ts";
 import { selectByFlow } from "./selectByFlow.ts";
 
-/** The policies that are compared; the last one is the chooser as the nodes use it. */
+/** Policies to compare. The last one is the chooser that the nodes use. */
 export const policies: readonly Policy[] = [
     {
         name: "round robin",
--- a/bench/policy/scenario.ts
+++ b/bench/policy/scenario.ts
@@ -5,36 +5,36 @@
 import type { Policy } from "./policy.ts";
 
 const runners = 32;
-/** Requests that run at all times at saturation. */
+/** Number of requests to keep running at saturation. */
 const saturatingRequests = 2_400;
-/** Mean positions of a request: 24 of the prompt, 40 tokens of which the last is not fed back. */
+/** Mean number of positions of a request: 24 of the prompt, and 40 tokens of which the last one isn't fed back. */
 const positionsPerRequest = 63;
 
-/** One cell of the comparison. */
+/** Options for one scenario of the comparison. */
 export interface ScenarioOptions {
     policy: Policy;
     fleetSeed: number;
     lagMilliseconds: number;
-    /** Offered load as a part of the bound; undefined for saturation. */
+    /** Offered load as a fraction of the bound; undefined for saturation. */
     load?: number;
 }
 
-/** What one cell showed; times are milliseconds, in the order median, 95th and 99th percentile. */
+/** Result of one scenario. Latencies are in milliseconds: median, 95th and 99th percentile. */
 export interface ScenarioResult {
     policy: string;
     fleetSeed: number;
     lagMilliseconds: number;
     load?: number;
     tokensPerSecond: number;
-    /** Tokens a second of the bound: its positions a second, less those of prompts. */
+    /** Tokens per second at the bound: its positions per second without those of prompts. */
     boundTokensPerSecond: number;
-    /** Positions carried over the bound. */
+    /** Processed positions per second as a fraction of the bound. */
     partOfBound: number;
     firstToken: readonly number[];
     betweenTokens: readonly number[];
 }
 
-/** Runs one policy on one fleet under one load. */
+/** Runs a policy on a fleet under a load. */
 export function runScenario({ policy, fleetSeed, lagMilliseconds, load }: ScenarioOptions): ScenarioResult {
     const fleet = createFleet(runners, 1, createSeededRandom(fleetSeed));
     const bound = computeFleetBound(fleet).positionsPerSecond;
--- a/bench/policy/selectByFlow.ts
+++ b/bench/policy/selectByFlow.ts
@@ -1,9 +1,9 @@
 import type { SelectCandidates } from "../../src/request/chain/selectCandidates.ts";
 
 /**
- * Selects holders in proportion to a maximum flow.
+ * Creates a function that selects holders at random, in proportion to a maximum flow.
  * @param flows - For each model and interval, the flow of each holder.
- * @param draws - Draws for each interval.
+ * @param draws - Number of draws for each interval.
  */
 export function selectByFlow(flows: ReadonlyMap<string, readonly Float64Array[]>, draws: number): SelectCandidates {
     return (holders, isUsable, random) => {
@@ -23,10 +23,10 @@
 
 /** Finds the holder at a point of the row's cumulative flow. */
 function drawHolder(row: Float64Array, point: number): number {
-    let rest = point;
+    let remaining = point;
     for (let holder = 0; holder < row.length; holder++) {
-        rest -= row[holder] ?? 0;
-        if (rest < 0) {
+        remaining -= row[holder] ?? 0;
+        if (remaining < 0) {
             return holder;
         }
     }
--- a/bench/policy/tokenRecorder.ts
+++ b/bench/policy/tokenRecorder.ts
@@ -1,6 +1,6 @@
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** Counts tokens and their times from a given time on. */
+/** Records the throughput and the latencies of tokens from a start time on. */
 export class TokenRecorder {
     private readonly start: number;
     private readonly firstToken = createHistogram();
@@ -23,8 +23,9 @@
     /**
      * Records a token.
      * @param now - Time in milliseconds.
-     * @param waited - Milliseconds since the token before, or since the arrival.
-     * @param positions - Positions that ran for it.
+     * @param waited - Milliseconds since the previous token, or since the arrival of the request for the first token.
+     * @param positions - Number of positions that were processed for the token.
+     * @param isFirst - Whether it is the first token of its request.
      */
     record(now: number, waited: number, positions: number, isFirst: boolean): void {
         if (now < this.start) {
@@ -36,7 +37,7 @@
         histogram.recordValue(Math.round(waited * 1_000));
     }
 
-    /** Gets the rates over a number of seconds, and the times' median, 95th and 99th percentile in milliseconds. */
+    /** Gets the rates over a number of seconds, and the median, 95th and 99th percentile of the latencies in milliseconds. */
     getResult(seconds: number) {
         return {
             tokensPerSecond: this.tokens / seconds,
@@ -51,7 +52,7 @@
     return [50, 95, 99].map(percentile => histogram.getValueAtPercentile(percentile) / 1_000);
 }
 
-/** Makes a histogram of microseconds up to ten minutes. */
+/** Creates a histogram for times of up to ten minutes, in microseconds. */
 function createHistogram(): Histogram {
     return build({ lowestDiscernibleValue: 1, highestTrackableValue: 600_000_000, numberOfSignificantValueDigits: 3 });
 }
--- a/bench/recovery/engineFleet.ts
+++ b/bench/recovery/engineFleet.ts
@@ -2,7 +2,7 @@
 import { ChildProcess } from "../../scripts/deployment/childProcess.ts";
 import type { Configuration, EndpointConfiguration } from "../../src/version/configuration.ts";
 
-/** An engine stand-in that runs as a process of its own. */
+/** A stand-in engine that runs in its own process. */
 interface FleetEngine {
     name: string;
     dataCentre: string;
@@ -13,13 +13,17 @@
     process: ChildProcess;
 }
 
-const layersOfStage = 8;
+const layersPerStage = 8;
 const stepBaseMilliseconds = 3;
 const prefillMillisecondsPerPosition = 0.2;
-/** Step time of one layer by data centre, in milliseconds; a token takes about 20 ms plus waiting. */
-const layerMilliseconds: Readonly<Record<string, number>> = { "centre-a": 0.3, "centre-b": 0.4, "centre-c": 0.5 };
+/** Step time of one layer by data centre. A token takes about 20 ms plus queueing. */
+const stepMillisecondsByDataCentre: Readonly<Record<string, number>> = {
+    "centre-a": 0.3,
+    "centre-b": 0.4,
+    "centre-c": 0.5,
+};
 
-/** Nine engines in three data centres, each of which holds the whole model in three stages. */
+/** Nine engines in three data centres. The engines of each data centre hold the whole model in three stages. */
 export class EngineFleet {
     readonly model = "assistant-24";
     readonly layers = 24;
@@ -31,10 +35,10 @@
     static async create(): Promise<EngineFleet> {
         const fleet = new EngineFleet();
         const starts: Promise<void>[] = [];
-        for (const [dataCentre, stepMillisecondsPerLayer] of Object.entries(layerMilliseconds)) {
-            for (let layerStart = 0; layerStart < fleet.layers; layerStart += layersOfStage) {
+        for (const [dataCentre, stepMillisecondsPerLayer] of Object.entries(stepMillisecondsByDataCentre)) {
+            for (let layerStart = 0; layerStart < fleet.layers; layerStart += layersPerStage) {
                 const name = `${dataCentre}-${layerStart}`;
-                const layerEnd = layerStart + layersOfStage;
+                const layerEnd = layerStart + layersPerStage;
                 starts.push(fleet.start({ name, dataCentre, layerStart, layerEnd, stepMillisecondsPerLayer }, 0));
             }
         }
@@ -50,7 +54,7 @@
         return this.engines.get(name)!.dataCentre;
     }
 
-    /** Gets a configuration of these engines. */
+    /** Creates a configuration with these engines. */
     createConfiguration(): Configuration {
         const endpoints: Record<string, EndpointConfiguration> = {};
         for (const engine of this.engines.values()) {
@@ -64,7 +68,9 @@
                 maximumSequences: 256,
             };
         }
-        const dataCentres = Object.fromEntries(Object.keys(layerMilliseconds).map(name => [name, { region: "south" }]));
+        const dataCentres = Object.fromEntries(
+            Object.keys(stepMillisecondsByDataCentre).map(name => [name, { region: "south" }]),
+        );
         return {
             models: { [this.model]: { layers: this.layers, hiddenBytes: 8_192 } },
             services: {},
@@ -82,12 +88,12 @@
         };
     }
 
-    /** Sends a signal to one engine's process, by its id. */
+    /** Sends a signal to the process of an engine. */
     signal(name: string, signal: NodeJS.Signals): void {
         this.engines.get(name)!.process.signal(signal);
     }
 
-    /** Sets faults of the stand-in. */
+    /** Sets the faults that a stand-in engine simulates. */
     async setFaults(name: string, faults: object): Promise<void> {
         const response = await request(`http://${this.engines.get(name)!.address}/standin/faults`, {
             method: "POST",
@@ -97,7 +103,7 @@
         await response.body.dump();
     }
 
-    /** Counts the passes that engines have got more than once, over all engines that answer. */
+    /** Gets the number of passes that engines received more than once, over all engines. */
     async countRepeatedPasses(): Promise<number> {
         let repeated = 0;
         for (const engine of this.engines.values()) {
@@ -110,7 +116,7 @@
         return repeated;
     }
 
-    /** Kills an engine, frozen or not, and starts it again on its port. */
+    /** Kills an engine, even if it is frozen, and restarts it on the same port. */
     async restart(name: string): Promise<void> {
         const engine = this.engines.get(name)!;
         engine.process.signal("SIGKILL");
--- a/bench/recovery/fault.ts
+++ b/bench/recovery/fault.ts
@@ -1,12 +1,12 @@
 import type { EngineFleet } from "./engineFleet.ts";
 
-/** A fault that a trial brings about. */
+/** A fault that a trial injects. */
 export interface Fault {
     name: string;
-    /** Gets the engines that the fault strikes, given one that carries streams. */
+    /** Gets the engines that the fault affects, given an engine that carries streams. */
     getStruck(fleet: EngineFleet, engine: string): string[];
-    /** Brings the fault about at one engine. */
+    /** Injects the fault at an engine. */
     strike(fleet: EngineFleet, engine: string): void | Promise<void>;
-    /** Makes the engine as it was. */
+    /** Restores an engine after the fault. */
     repair(fleet: EngineFleet, engine: string): void | Promise<void>;
 }
--- a/bench/recovery/faults.ts
+++ b/bench/recovery/faults.ts
@@ -6,7 +6,7 @@
 const getOne = (_fleet: EngineFleet, engine: string) => [engine];
 const restart = (fleet: EngineFleet, engine: string) => fleet.restart(engine);
 
-/** The faults of engines and of the connections to them, the most common first. */
+/** Faults of engines and of the connections to them, in order of decreasing frequency. */
 export const faults: readonly Fault[] = [
     {
         name: "stage dies",
--- a/bench/recovery/foxleadRouter.ts
+++ b/bench/recovery/foxleadRouter.ts
@@ -12,7 +12,7 @@
 const dataCentre = "centre-a";
 const observeIntervalMilliseconds = 500;
 
-/** What a node does with a model request, without callers, peers and the platform around it. */
+/** Runs a node's code for model requests without callers, peers and a platform. */
 export class FoxleadRouter implements Router {
     readonly counts: RouterCounts = { brokenAttempts: new Map(), replacedConnections: 0 };
     private readonly fleet: EngineFleet;
@@ -53,7 +53,7 @@
         return new FoxleadRouter(fleet, seed);
     }
 
-    /** Generates one answer; returns whether it came whole. */
+    /** Generates an answer and returns whether it is complete. */
     async generate(request: RouterRequest): Promise<boolean> {
         const result = await runGeneration({
             request: request.id,
--- a/bench/recovery/measureNodeDeath.ts
+++ b/bench/recovery/measureNodeDeath.ts
@@ -3,26 +3,26 @@
 import { type ChatOutcome, sendChat } from "../../scripts/deployment/sendChat.ts";
 import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
 
-/** What the callers of nodes that died saw; times in milliseconds. */
+/** Latencies that callers see when nodes die, in milliseconds. */
 export interface NodeDeathFigures {
-    /** From the node's death to the first token of the repeat at another node. */
+    /** Times from the node's death to the first token of the retry at another node. */
     firstTokens: number[];
-    /** From the node's death to the whole answer of the repeat. */
+    /** Times from the node's death to the end of the retry's answer. */
     wholeAnswers: number[];
-    /** Times of whole answers of the streams on the nodes that lived. */
+    /** Times from the request to the end of the answer, of streams on the other nodes. */
     undisturbedAnswers: number[];
-    /** Answers that were not what the model says, or did not come whole. */
+    /** Number of answers that were incomplete or differed from the reference model's. */
     wrongAnswers: number;
 }
 
 const nodes = 3;
 const maximumTokens = 100;
-const untilDeathMilliseconds = 700;
+const killDelayMilliseconds = 700;
 
 /**
- * Kills a node while its callers read their answers; each repeats its request at another node as soon as it sees the end.
- * @param seeds - How many nodes die, one after another.
- * @param streams - Streams in flight, over all nodes.
+ * Kills a node while its callers read their answers. Each caller retries at another node as soon as its stream ends.
+ * @param seeds - Number of nodes to kill, one after another.
+ * @param streams - Number of streams in flight, over all nodes.
  */
 export async function measureNodeDeath(seeds: number, streams: number): Promise<NodeDeathFigures> {
     const figures: NodeDeathFigures = { firstTokens: [], wholeAnswers: [], undisturbedAnswers: [], wrongAnswers: 0 };
@@ -50,21 +50,21 @@
     const runCaller = async (index: number) => {
         const prompt = `Explain receipt ${seed} ${index} to the household in plain words please`;
         const startedAt = performance.now();
-        const first = await ask(deployment, addresses[index % nodes]!, prompt);
+        const first = await sendPrompt(deployment, addresses[index % nodes]!, prompt);
         if (first?.isWhole === true) {
             figures.undisturbedAnswers.push(performance.now() - startedAt);
-            figures.wrongAnswers += isRight(deployment, prompt, first) ? 0 : 1;
+            figures.wrongAnswers += isCorrect(deployment, prompt, first) ? 0 : 1;
             return;
         }
-        const repeatedAt = performance.now();
+        const retriedAt = performance.now();
         const next = 1 + index % (nodes - 1);
-        const repeat = await ask(deployment, addresses[next]!, prompt);
-        figures.firstTokens.push(repeatedAt - diedAt + (repeat?.firstTokenMilliseconds ?? Number.NaN));
+        const retry = await sendPrompt(deployment, addresses[next]!, prompt);
+        figures.firstTokens.push(retriedAt - diedAt + (retry?.firstTokenMilliseconds ?? Number.NaN));
         figures.wholeAnswers.push(performance.now() - diedAt);
-        figures.wrongAnswers += repeat !== undefined && isRight(deployment, prompt, repeat) ? 0 : 1;
+        figures.wrongAnswers += retry !== undefined && isCorrect(deployment, prompt, retry) ? 0 : 1;
     };
     const callers = Promise.all(Array.from({ length: streams }, (_, index) => runCaller(index)));
-    await sleep(untilDeathMilliseconds);
+    await sleep(killDelayMilliseconds);
     const victim = deployment.nodes[0]!;
     diedAt = performance.now();
     victim.process.signal("SIGKILL");
@@ -73,8 +73,12 @@
     await deployment.startNode();
 }
 
-/** Asks a node; undefined where the connection fails before the answer begins. */
-async function ask(deployment: LocalDeployment, address: string, prompt: string): Promise<ChatOutcome | undefined> {
+/** Sends a prompt to a node. Returns undefined if the connection fails before the answer begins. */
+async function sendPrompt(
+    deployment: LocalDeployment,
+    address: string,
+    prompt: string,
+): Promise<ChatOutcome | undefined> {
     const { apiKey } = deployment;
     try {
         return await sendChat({ address, apiKey, service: "assistant", prompt, maximumTokens, isStreamed: true });
@@ -84,7 +88,7 @@
     }
 }
 
-function isRight(deployment: LocalDeployment, prompt: string, { isWhole, text }: ChatOutcome): boolean {
+function isCorrect(deployment: LocalDeployment, prompt: string, { isWhole, text }: ChatOutcome): boolean {
     const { modelLayers } = deployment;
     return isWhole && text === referenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
 }
--- a/bench/recovery/plainRouter.ts
+++ b/bench/recovery/plainRouter.ts
@@ -10,7 +10,7 @@
 import type { EngineFleet } from "./engineFleet.ts";
 import type { Router, RouterCounts, RouterRequest } from "./router.ts";
 
-/** A pass without its layers and its place in the answer. */
+/** Position, attempt and input of a pass. */
 interface PlainPass {
     position: number;
     attempt: number;
@@ -22,8 +22,9 @@
 const maximumAttempts = 12;
 
 /**
- * The baseline: the same choice of chains, a fixed time-out for a pass, no probe, nothing remembered of an endpoint but the
- * chooser's own figures, and a whole retry from the prompt. A repeated token is not emitted again.
+ * Baseline router. It chooses chains as a node does, but has a fixed timeout per pass, no probes and no state of
+ * endpoints besides the chooser's estimates, and retries the whole answer from the prompt. Tokens that an earlier attempt
+ * emitted are not emitted again.
  */
 export class PlainRouter implements Router {
     readonly counts: RouterCounts = { brokenAttempts: new Map(), replacedConnections: 0 };
@@ -52,7 +53,7 @@
         return new PlainRouter(fleet, seed);
     }
 
-    /** Generates one answer; returns whether it came whole. */
+    /** Generates an answer and returns whether it is complete. */
     async generate(request: RouterRequest): Promise<boolean> {
         const excluded = new Set<string>();
         let emitted = 0;
@@ -61,7 +62,7 @@
             request.onChain(chain);
             this.chooser.reserveChain(chain);
             let produced = 0;
-            const failed = await this.runAttempt(request, chain, attempt, text => {
+            const failedEndpoint = await this.runAttempt(request, chain, attempt, text => {
                 produced += 1;
                 if (produced > emitted) {
                     emitted = produced;
@@ -70,13 +71,13 @@
             });
             this.chooser.releaseChain(chain);
             this.cancel(request, chain, attempt);
-            if (failed === undefined) {
+            if (failedEndpoint === undefined) {
                 return true;
             }
             const { brokenAttempts } = this.counts;
             brokenAttempts.set("no result", (brokenAttempts.get("no result") ?? 0) + 1);
-            this.chooser.observeFailure(failed);
-            excluded.add(failed);
+            this.chooser.observeFailure(failedEndpoint);
+            excluded.add(failedEndpoint);
         }
         return false;
     }
@@ -96,7 +97,7 @@
         return this.chooser.chooseChain(options).unwrap();
     }
 
-    /** Runs the whole answer; returns the endpoint that failed, if any. */
+    /** Generates the whole answer once. Returns the endpoint that failedEndpoint, if any. */
     private async runAttempt(
         request: RouterRequest,
         chain: Chain,
@@ -130,11 +131,11 @@
         { attempt, position, input }: PlainPass,
     ): Promise<PassResult | undefined> {
         const { endpoint, layerStart, layerEnd } = stage;
-        const place = { id: 1, request: request.id, attempt, model: this.fleet.model, position, priority: 0 };
+        const commonFields = { id: 1, request: request.id, attempt, model: this.fleet.model, position, priority: 0 };
         const startedAt = performance.now();
         const signal = AbortSignal.any([request.signal, AbortSignal.timeout(passTimeoutMilliseconds)]);
         try {
-            const pass = { ...place, layerStart, layerEnd, ...input };
+            const pass = { ...commonFields, layerStart, layerEnd, ...input };
             const result = parseResult(await this.post(endpoint, "/v1/passes", { passes: [pass] }, signal));
             if (result?.outcome !== "done") {
                 return undefined;
--- a/bench/recovery/router.ts
+++ b/bench/recovery/router.ts
@@ -1,30 +1,30 @@
 import type { Chain } from "../../src/request/chain/chain.ts";
 
-/** One answer that a router generates. */
+/** A request for an answer. */
 export interface RouterRequest {
     id: string;
     prompt: string;
     maximumTokens: number;
-    /** Aborts when the answer is no longer wanted. */
+    /** Aborts when the answer is no longer needed. */
     signal: AbortSignal;
-    /** Hears of each chain before its first pass. */
+    /** Called with each chain before its first pass. */
     onChain(chain: Chain): void;
-    /** Takes each token's text, in order. */
+    /** Called with the text of each token, in order. */
     onText(text: string): void;
 }
 
-/** What a router did besides its answers. */
+/** Counts of a router's failures and reconnections. */
 export interface RouterCounts {
-    /** Attempts that ended without an answer, by kind and reason. */
+    /** Number of attempts that ended without an answer, by kind and reason. */
     brokenAttempts: Map<string, number>;
-    /** Connections that were replaced as silent. */
+    /** Number of connections that were replaced because they were silent. */
     replacedConnections: number;
 }
 
-/** A way of generating answers over the engines. */
+/** Generates answers on the engines. */
 export interface Router {
     readonly counts: RouterCounts;
-    /** Generates one answer; returns whether it came whole. */
+    /** Generates an answer and returns whether it is complete. */
     generate(request: RouterRequest): Promise<boolean>;
     close(): Promise<void>;
 }
--- a/bench/recovery/runTrial.ts
+++ b/bench/recovery/runTrial.ts
@@ -15,20 +15,21 @@
     createRouter(fleet: EngineFleet, seed: number): Router;
 }
 
-/** What one trial showed; times in milliseconds. */
+/** Figures of one trial. Times are in milliseconds. */
 export interface TrialFigures {
-    /** Longest time without a token after the fault, of each stream over a struck engine. */
+    /** Longest time without a token after the fault, of each stream on an affected engine. */
     struckStalls: number[];
-    /** The same of all streams in flight at the fault. */
+    /** Longest time without a token after the fault, of each stream in flight at the fault. */
     allStalls: number[];
-    /** Times between tokens after the fault, over all streams in flight at it. */
+    /** Times between tokens after the fault, of all streams in flight at the fault. */
     gaps: number[];
-    /** Until the tokens a second were back at 0.95 of the new steady rate. */
+    /** Time until the throughput reached 0.95 of the steady throughput after the fault. */
     throughputMilliseconds: number;
+    /** Number of answers that were incomplete or differed from the reference model's. */
     wrongAnswers: number;
-    /** Attempts that ended without an answer, by cause. */
+    /** Number of attempts that ended without an answer, by cause. */
     brokenAttempts: ReadonlyMap<string, number>;
-    /** Connections replaced, and passes that engines got again, before the fault. */
+    /** Number of connections replaced, and of passes that engines received again, before the fault. */
     replacedBefore: number;
     repeatedBefore: number;
     tokensPerSecondBefore: number;
@@ -37,18 +38,18 @@
 
 const warmUpMilliseconds = 2_500;
 const observedMilliseconds = 5_000;
-const steadyMilliseconds = 1_500;
-const longestDrainMilliseconds = 15_000;
+const steadyWindowMilliseconds = 1_500;
+const maximumDrainMilliseconds = 15_000;
 const pollMilliseconds = 50;
-/** Time for the engines to hear that the answers were given up, so that the next trial finds their memory free. */
-const cancelMilliseconds = 500;
+/** Time for the engines to handle cancellations, so that their memory is free for the next trial. */
+const cancellationMilliseconds = 500;
 const rateWindowMilliseconds = 300;
 const rateStepMilliseconds = 20;
-const steadyPart = 0.95;
+const steadyFraction = 0.95;
 
 /**
- * Runs one trial: streams warm up, the fault strikes, and the streams are watched until they have ended.
- * @param options - The engines, the router and the fault.
+ * Runs one trial: warms up the streams, injects the fault, and observes the streams until they end.
+ * @param options - Engines, router, load and fault.
  */
 export async function runTrial(options: TrialOptions): Promise<TrialFigures> {
     const { fleet, fault, seed, streams } = options;
@@ -60,47 +61,47 @@
     const repeatedBefore = await fleet.countRepeatedPasses() - repeatedAtStart;
     const replacedBefore = router.counts.replacedConnections;
     const inFlight = load.getRunning().filter(record => record.tokenTimes.length > 0);
-    const struckEngines = fault === undefined ? [] : fault.getStruck(fleet, chooseEngine(inFlight, random()));
-    const struck = inFlight.filter(record => record.endpoints.some(endpoint => struckEngines.includes(endpoint)));
-    const struckAt = performance.now();
-    await Promise.all(struckEngines.map(engine => fault?.strike(fleet, engine)));
+    const affectedEngines = fault === undefined ? [] : fault.getStruck(fleet, chooseEngine(inFlight, random()));
+    const affected = inFlight.filter(record => record.endpoints.some(endpoint => affectedEngines.includes(endpoint)));
+    const faultAt = performance.now();
+    await Promise.all(affectedEngines.map(engine => fault?.strike(fleet, engine)));
     await sleep(observedMilliseconds);
-    const end = struckAt + observedMilliseconds;
+    const end = faultAt + observedMilliseconds;
     await waitUntilEnded(inFlight);
-    const tokensPerSecondAfter = load.getRate(end - steadyMilliseconds, end);
+    const tokensPerSecondAfter = load.getRate(end - steadyWindowMilliseconds, end);
     const figures: TrialFigures = {
-        struckStalls: struck.map(record => Math.max(...getGaps(record, struckAt))),
-        allStalls: inFlight.map(record => Math.max(...getGaps(record, struckAt))),
-        gaps: inFlight.flatMap(record => getGaps(record, struckAt)),
-        throughputMilliseconds: getThroughputTime(load, struckAt, tokensPerSecondAfter),
+        struckStalls: affected.map(record => Math.max(...getGaps(record, faultAt))),
+        allStalls: inFlight.map(record => Math.max(...getGaps(record, faultAt))),
+        gaps: inFlight.flatMap(record => getGaps(record, faultAt)),
+        throughputMilliseconds: getThroughputTime(load, faultAt, tokensPerSecondAfter),
         wrongAnswers: load.wrongAnswers,
         brokenAttempts: new Map(router.counts.brokenAttempts),
         replacedBefore,
         repeatedBefore,
-        tokensPerSecondBefore: load.getRate(struckAt - steadyMilliseconds, struckAt),
+        tokensPerSecondBefore: load.getRate(faultAt - steadyWindowMilliseconds, faultAt),
         tokensPerSecondAfter,
     };
     await load.stop();
-    await sleep(cancelMilliseconds);
+    await sleep(cancellationMilliseconds);
     await router.close();
-    await Promise.all(struckEngines.map(engine => fault?.repair(fleet, engine)));
+    await Promise.all(affectedEngines.map(engine => fault?.repair(fleet, engine)));
     return figures;
 }
 
-/** Chooses one of the engines that carry streams; the more streams, the likelier. */
+/** Chooses an engine at random, weighted by the number of streams that it carries. */
 function chooseEngine(inFlight: readonly StreamRecord[], draw: number): string {
-    const carrying = inFlight.flatMap(record => record.endpoints);
-    return carrying[Math.floor(draw * carrying.length)]!;
+    const endpoints = inFlight.flatMap(record => record.endpoints);
+    return endpoints[Math.floor(draw * endpoints.length)]!;
 }
 
-/** Gets the times between tokens after the fault; the first one counts from the fault on. */
-function getGaps(record: StreamRecord, struckAt: number): number[] {
-    const times = [...record.tokenTimes.filter(time => time > struckAt), record.endedAt ?? performance.now()];
-    return times.map((time, index) => time - (times[index - 1] ?? struckAt));
+/** Gets the times between tokens after the fault. The first one starts at the fault. */
+function getGaps(record: StreamRecord, faultAt: number): number[] {
+    const times = [...record.tokenTimes.filter(time => time > faultAt), record.endedAt ?? performance.now()];
+    return times.map((time, index) => time - (times[index - 1] ?? faultAt));
 }
 
 async function waitUntilEnded(records: readonly StreamRecord[]): Promise<void> {
-    for (let waited = 0; waited < longestDrainMilliseconds; waited += pollMilliseconds) {
+    for (let waited = 0; waited < maximumDrainMilliseconds; waited += pollMilliseconds) {
         if (records.every(record => record.endedAt !== undefined)) {
             return;
         }
@@ -108,10 +109,10 @@
     }
 }
 
-function getThroughputTime(load: StreamLoad, struckAt: number, steadyRate: number): number {
+function getThroughputTime(load: StreamLoad, faultAt: number, steadyRate: number): number {
     for (let offset = 0; offset < observedMilliseconds; offset += rateStepMilliseconds) {
-        const from = struckAt + offset;
-        if (load.getRate(from, from + rateWindowMilliseconds) >= steadyPart * steadyRate) {
+        const from = faultAt + offset;
+        if (load.getRate(from, from + rateWindowMilliseconds) >= steadyFraction * steadyRate) {
             return offset;
         }
     }
--- a/bench/recovery/streamLoad.ts
+++ b/bench/recovery/streamLoad.ts
@@ -10,29 +10,29 @@
     random: RandomSource;
 }
 
-/** One answer as its caller saw it. */
+/** Record of one answer from its caller's view. */
 export interface StreamRecord {
     startedAt: number;
     /** Endpoints of the chain in use. */
     endpoints: string[];
     /** Monotonic times of the tokens, in milliseconds. */
     tokenTimes: number[];
-    /** Undefined while the answer runs. */
+    /** Undefined while the answer is in progress. */
     endedAt: number | undefined;
 }
 
-const promptWords = 60;
+const promptWordCount = 60;
 const vocabulary = ["salary", "tariff", "deduction", "ward", "contract", "letter", "month", "household", "receipt"];
-const shortestAnswer = 60;
-const longestAnswer = 140;
+const minimumAnswerTokens = 60;
+const maximumAnswerTokens = 140;
 const staggerMilliseconds = 1_000;
 const millisecondsPerSecond = 1_000;
 
-/** So many streams at a time, each of which asks for its next answer when one has ended. */
+/** Keeps a fixed number of streams in flight. Each stream requests its next answer when the previous one has ended. */
 export class StreamLoad {
     /** All answers, in the order of their starts. */
     readonly records: StreamRecord[] = [];
-    /** Answers that were not what the model says, or did not come whole. */
+    /** Number of answers that were incomplete or differed from the reference model's. */
     wrongAnswers = 0;
     private readonly options: StreamLoadOptions;
     private readonly controller = new AbortController();
@@ -52,13 +52,13 @@
         return load;
     }
 
-    /** Gets the answers that run now. */
+    /** Gets the answers in progress. */
     getRunning(): StreamRecord[] {
         return this.records.filter(record => record.endedAt === undefined);
     }
 
     /**
-     * Gets the tokens a second of all streams between two times.
+     * Gets the tokens per second of all streams between two times.
      * @param from - Monotonic time in milliseconds.
      * @param to - Monotonic time in milliseconds.
      */
@@ -72,7 +72,7 @@
         return tokens * millisecondsPerSecond / (to - from);
     }
 
-    /** Gives up all answers and waits until they have ended. */
+    /** Cancels all answers and waits until they have ended. */
     async stop(): Promise<void> {
         this.controller.abort();
         await Promise.all(this.running);
@@ -95,9 +95,9 @@
         };
         this.records.push(record);
         const prompt = createPrompt(random);
-        const maximumTokens = Math.floor(shortestAnswer + random() * (longestAnswer - shortestAnswer));
+        const maximumTokens = Math.floor(minimumAnswerTokens + random() * (maximumAnswerTokens - minimumAnswerTokens));
         let text = "";
-        const isWhole = await router.generate({
+        const isComplete = await router.generate({
             id: `answer-${this.nextAnswer++}-${performance.timeOrigin + performance.now()}`,
             prompt,
             maximumTokens,
@@ -114,14 +114,14 @@
         if (this.controller.signal.aborted) {
             return;
         }
-        const isRight = isWhole && text === referenceAnswer({ modelLayers: layers, prompt, maximumTokens }).text;
-        this.wrongAnswers += isRight ? 0 : 1;
+        const isCorrect = isComplete && text === referenceAnswer({ modelLayers: layers, prompt, maximumTokens }).text;
+        this.wrongAnswers += isCorrect ? 0 : 1;
     }
 }
 
 function createPrompt(random: RandomSource): string {
     const words: string[] = [];
-    for (let index = 0; index < promptWords; index += 1) {
+    for (let index = 0; index < promptWordCount; index += 1) {
         words.push(vocabulary[Math.floor(random() * vocabulary.length)]!);
     }
     return words.join(" ");
--- a/bench/recovery/summarizeTimes.ts
+++ b/bench/recovery/summarizeTimes.ts
@@ -1,7 +1,10 @@
 import { build } from "hdr-histogram-js";
 import type { TimeSummary } from "./timeSummary.ts";
 
-/** @param times - Times in milliseconds; zeros are given where there are none. */
+/**
+ * Summarizes times. All figures are 0 if there are no times.
+ * @param times - Times in milliseconds.
+ */
 export function summarizeTimes(times: readonly number[]): TimeSummary {
     const histogram = build();
     for (const time of times) {
--- a/bench/recovery/summarizeTrials.ts
+++ b/bench/recovery/summarizeTrials.ts
@@ -2,14 +2,14 @@
 import { summarizeTimes } from "./summarizeTimes.ts";
 import type { TimeSummary } from "./timeSummary.ts";
 
-/** What all trials of a fault showed together; times in milliseconds. */
+/** Summary of the trials of one fault and router. Times are in milliseconds. */
 interface TrialSummary {
     struckStall: TimeSummary;
     allStall: TimeSummary;
     gap: TimeSummary;
     throughput: TimeSummary;
     wrongAnswers: number;
-    /** By cause. */
+    /** Number of attempts that ended without an answer, by cause. */
     brokenAttempts: Record<string, number>;
     replacedBefore: number;
     repeatedBefore: number;
@@ -18,7 +18,7 @@
 }
 
 /**
- * Puts the trials of one fault and router together.
+ * Summarizes the trials of one fault and router.
  * @param trials - At least one trial.
  */
 export function summarizeTrials(trials: readonly TrialFigures[]): TrialSummary {
--- a/bench/recovery/timeSummary.ts
+++ b/bench/recovery/timeSummary.ts
@@ -1,4 +1,4 @@
-/** Median, 99th percentile and worst of a time, in milliseconds, over so many samples. */
+/** Median, 99th percentile and maximum of times in milliseconds, and the number of samples. */
 export interface TimeSummary {
     median: number;
     percentile99: number;
--- a/tests/support/countedStore.ts
+++ b/tests/support/countedStore.ts
@@ -3,31 +3,31 @@
 import type { RecordStore } from "../../src/process/replica/recordStore.ts";
 import { Err, Ok, type Result } from "../../src/result.ts";
 
-/** A store whose answers a test sets, and that counts its calls. */
+/** A fake store that counts its calls and whose behaviour a test controls. */
 export class CountedStore implements RecordStore {
-    /** Whether it refuses all calls. */
+    /** Whether the store refuses all calls. */
     isDown = false;
-    /** Whether it never answers the calls that come. */
+    /** Whether new waits for changes never get an answer. */
     isSilent = false;
-    /** Whether there is a change for each wait; else waits go on. */
+    /** Whether each wait returns a change at once; otherwise waits stay pending. */
     hasChanges = true;
-    /** Listings that were asked for. */
+    /** Number of requested listings. */
     reads = 0;
-    /** Waits for changes that were asked for. */
+    /** Number of requested waits for changes. */
     waits = 0;
-    /** Cheap calls that were made; a test counts them. */
+    /** Number of probe calls, counted by the test. */
     probes = 0;
     private revision = 1;
-    /** Ends the waits that go on, by what they return. */
+    /** Callbacks that end the pending waits. */
     private readonly pending = new Set<() => void>();
 
-    /** Answers with an empty listing. */
+    /** Returns an empty listing. */
     async readAll() {
         this.reads += 1;
         return this.isDown ? this.fail() : Ok({ records: [], revision: this.revision });
     }
 
-    /** Answers with one change, or once the wait is ended. */
+    /** Returns one change, or no change once the wait is ended. */
     async waitForChanges(
         _prefix: string,
         _afterRevision: number,
@@ -39,10 +39,10 @@
             return this.fail();
         }
         if (this.isSilent || !this.hasChanges) {
-            const isLost = this.isSilent;
+            const isUnanswered = this.isSilent;
             await new Promise<void>(resolve => {
                 signal?.addEventListener("abort", () => resolve());
-                if (!isLost) {
+                if (!isUnanswered) {
                     this.pending.add(resolve);
                 }
             });
@@ -51,7 +51,7 @@
         return this.createChanges(1);
     }
 
-    /** Ends the waits that go on, without a change, but for those that came while it was silent. */
+    /** Ends the pending waits without a change, except those that began while the store was silent. */
     endWaits(): void {
         for (const end of this.pending) {
             end();
--- a/tests/support/fakeClock.ts
+++ b/tests/support/fakeClock.ts
@@ -5,7 +5,7 @@
     callback: () => void;
 }
 
-/** A clock that stands still until a test moves it. */
+/** A clock that only advances when a test advances it. */
 export class FakeClock implements Clock {
     private time = 0;
     private readonly timers = new Set<Timer>();
@@ -17,24 +17,24 @@
         return new FakeClock();
     }
 
-    /** Gets the milliseconds by which the clock was moved. */
+    /** Gets the milliseconds by which the clock was advanced. */
     getMonotonicTime(): number {
         return this.time;
     }
 
-    /** Gets the same time counted from a day in November 2023, in milliseconds. */
+    /** Gets the wall time in milliseconds. The clock starts in November 2023. */
     getWallTime(): number {
         return 1_700_000_000_000 + this.time;
     }
 
-    /** Sets a timer that runs once the clock is moved past it. */
+    /** Sets a timer that runs once the clock is advanced to its time. */
     setTimer(delayMilliseconds: number, callback: () => void): TimerHandle {
         const timer = { time: this.time + delayMilliseconds, callback };
         this.timers.add(timer);
         return { cancel: () => void this.timers.delete(timer) };
     }
 
-    /** Moves the time on, running the timers in order and all promises that follow from each. */
+    /** Advances the clock. Runs the timers that become due in order, and the promise callbacks that follow from each. */
     async advance(milliseconds: number): Promise<void> {
         const end = this.time + milliseconds;
         await settle();
@@ -58,7 +58,7 @@
     }
 }
 
-/** Lets the promises that are ready run, and those that they make ready. */
+/** Waits until all pending promise callbacks have run, including those that they schedule. */
 function settle(): Promise<void> {
     return new Promise(resolve => {
         setImmediate(resolve);
--- a/tests/support/leaveWhileBusy.ts
+++ b/tests/support/leaveWhileBusy.ts
@@ -5,10 +5,10 @@
 
 const busyMilliseconds = 900;
 const leaveMilliseconds = 200;
-/** By then whatever was sent on has arrived. */
+/** Time in which all forwarded requests arrive. */
 const settleMilliseconds = 300;
 
-/** Has callers send requests and leave while this thread is busy with itself, and waits until all that follows has happened. */
+/** Makes callers send requests and disconnect while this thread is blocked, and waits until the effects have arrived. */
 export async function leaveWhileBusy(
     { address, ...callers }: Omit<LeavingCallersPlan, "host" | "port" | "leaveMilliseconds"> & { address: string; },
 ): Promise<void> {
@@ -19,7 +19,7 @@
     worker.postMessage("leave");
     const end = performance.now() + busyMilliseconds;
     while (performance.now() < end) {
-        // The thread is busy.
+        // Blocks the thread.
     }
     await once(worker, "message");
     await wait(settleMilliseconds);
--- a/tests/support/leavingCallers.ts
+++ b/tests/support/leavingCallers.ts
@@ -1,4 +1,4 @@
-/** Callers on a thread of their own, that leave while the test's thread, with the node on it, is busy. */
+/** Worker thread whose callers disconnect while the test's thread, which also runs the node, is blocked. */
 import { connect, type Socket } from "node:net";
 import { setTimeout as wait } from "node:timers/promises";
 import { parentPort, workerData } from "node:worker_threads";
@@ -12,7 +12,7 @@
     socket.write(createRequest(`early-${index}`));
     await answered;
 }
-// The rest of the answers.
+// Waits for the rest of the answers.
 await wait(200);
 parentPort!.once("message", () => void leave());
 parentPort!.postMessage("ready");
--- a/tests/support/leavingCallersPlan.ts
+++ b/tests/support/leavingCallersPlan.ts
@@ -1,4 +1,4 @@
-/** What the callers of `leavingCallers.ts` do. */
+/** Options of the callers in `leavingCallers.ts`. */
 export interface LeavingCallersPlan {
     host: string;
     port: number;
@@ -6,8 +6,8 @@
     key: string;
     path: string;
     count: number;
-    /** Whether they send on connections on which they had an answer before. */
+    /** Whether callers send on connections that already carried a request and its answer. */
     keepsConnections: boolean;
-    /** Time from the sending of a request to the close of its connection, in milliseconds. */
+    /** Time from sending a request to closing its connection, in milliseconds. */
     leaveMilliseconds: number;
 }
--- a/tests/support/memoryStore.ts
+++ b/tests/support/memoryStore.ts
@@ -10,7 +10,7 @@
 } from "../../src/process/platform/platformStore.ts";
 import { Err, Ok, type Result } from "../../src/result.ts";
 
-/** Methods of the store that are counted. */
+/** Methods of the store whose calls are counted. */
 export type StoreMethod = "get" | "list" | "compareAndSwap" | "grantLease" | "renewLease" | "revokeLease" | "watch";
 
 interface Watch {
@@ -25,9 +25,9 @@
 }
 
 interface MemoryStoreOptions {
-    /** Time by which leases lapse; without it they lapse only by {@link MemoryStore.expireLease}. */
+    /** Gets the time that expires leases; without it, leases expire only by {@link MemoryStore.expireLease}. */
     getTime?(): number;
-    /** Runs before each call takes effect; a test's scheduler can hold the call there. */
+    /** Runs before each call takes effect, so that a test can delay the call. */
     beforeCall?(method: StoreMethod, key: string | undefined): Promise<void> | void;
 }
 
@@ -37,7 +37,7 @@
     message: "The answer was lost. Read the key to see what happened.",
 };
 
-/** A platform store in memory, with faults on demand. Revisions are counted over the whole store. */
+/** An in-memory platform store with fault injection. All keys share one revision counter. */
 export class MemoryStore implements PlatformStore {
     private readonly options: MemoryStoreOptions;
     private values = new Map<string, StoredValue>();
@@ -59,7 +59,7 @@
         return new MemoryStore(options);
     }
 
-    /** Counts the calls of one method, or of all; every watch that was opened counts as one. */
+    /** Gets the number of calls of one method or of all methods. Opening a watch counts as one call. */
     getCallCount(method?: StoreMethod): number {
         if (method !== undefined) {
             return this.calls.get(method) ?? 0;
@@ -67,12 +67,12 @@
         return [...this.calls.values()].reduce((sum, count) => sum + count, 0);
     }
 
-    /** Counts the watches that are open. */
+    /** Gets the number of open watches. */
     getWatchCount(): number {
         return this.watches.size;
     }
 
-    /** While down, each call is refused; going down closes the watches. */
+    /** Sets whether the store refuses all calls. Setting it to true also closes the watches. */
     setDown(isDown: boolean): void {
         this.isDown = isDown;
         if (isDown) {
@@ -80,37 +80,37 @@
         }
     }
 
-    /** The next calls of any method but `watch` take effect, yet their answers are lost. */
+    /** Makes the next calls of any method but `watch` take effect without an answer. */
     loseAnswers(count: number): void {
         this.lostAnswers = count;
     }
 
-    /** The next calls of any method but `watch` are lost on the way; the caller cannot tell. */
+    /** Makes the next calls of any method but `watch` have no effect. Callers get the same error as for a lost answer. */
     loseRequests(count: number): void {
         this.lostRequests = count;
     }
 
-    /** Reads a value past all faults and counts. */
+    /** Reads a value without faults and without counting a call. */
     peek(key: string): StoredValue | undefined {
         return this.values.get(key);
     }
 
-    /** Writes a value past all faults and counts. */
+    /** Writes a value without faults and without counting a call. */
     put(key: string, value: string): StoredValue {
         return this.write(key, value);
     }
 
-    /** Takes a copy for {@link restore}. */
+    /** Copies all values for {@link restore}. */
     takeSnapshot(): ReadonlyMap<string, StoredValue> {
         return new Map(this.values);
     }
 
-    /** Puts an older copy back, as a service restored from a backup does; revisions go on from where they were. */
+    /** Restores an older copy of the values, as a service restored from a backup does. Revisions continue from the current one. */
     restore(snapshot: ReadonlyMap<string, StoredValue>): void {
         this.values = new Map(snapshot);
     }
 
-    /** Sends a value to the key's watches without writing it: a stale event. */
+    /** Sends a value to the watches of its key without writing it, as a stale event. */
     emit(stored: StoredValue): void {
         for (const watch of [...this.watches]) {
             if (watch.key === stored.key) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /** Closes every watch from the side of the service. */
+    /** Closes all watches from the service's side. */
     breakWatches(): void {
         for (const watch of [...this.watches]) {
             this.watches.delete(watch);
@@ -127,12 +127,12 @@
         }
     }
 
-    /** Makes every watch go silent: it stays open for its holder and hears nothing more. */
+    /** Makes all watches silent: they stay open for their holders but receive no more events. */
     silenceWatches(): void {
         this.watches.clear();
     }
 
-    /** Ends a lease as if its time were over. */
+    /** Expires a lease and deletes its keys. */
     expireLease(leaseId: string): void {
         for (const key of this.leases.get(leaseId)?.keys ?? []) {
             this.values.delete(key);
--- a/tests/support/recordingEventLog.ts
+++ b/tests/support/recordingEventLog.ts
@@ -1,6 +1,6 @@
 import type { EventLog } from "../../src/process/logging/eventLog.ts";
 
-/** An event log that keeps the numbers of its events for a test to read. */
+/** An event log that records the numbers of its events for tests. */
 export class RecordingEventLog implements EventLog {
     readonly numbers: number[] = [];
 
@@ -11,7 +11,7 @@
         return new RecordingEventLog();
     }
 
-    /** Keeps the number of an event. */
+    /** Records the number of an event. */
     write(event: { number: number; }): void {
         this.numbers.push(event.number);
     }
--- a/tests/support/virtualClock.ts
+++ b/tests/support/virtualClock.ts
@@ -3,13 +3,13 @@
 
 interface VirtualTimer {
     time: number;
-    /** Breaks ties, so that the order is the same in each run. */
+    /** Breaks ties, so that the order is deterministic. */
     sequence: number;
     /** Undefined once the timer is cancelled. */
     callback: (() => void) | undefined;
 }
 
-/** A clock whose time goes straight to the next timer. Timers of the same time run in the order of their setting. */
+/** A clock whose time jumps to the next timer. Timers with the same time run in the order in which they were set. */
 export class VirtualClock implements Clock {
     private now = 0;
     private sequence = 0;
@@ -27,7 +27,7 @@
         return this.now;
     }
 
-    /** Gets the virtual time in milliseconds, which is the wall time too. */
+    /** Gets the virtual time in milliseconds, which is also the wall time. */
     getWallTime(): number {
         return this.now;
     }
@@ -47,9 +47,9 @@
         };
     }
 
-    /** Runs all timers up to a time in milliseconds, and between them what their callbacks settled. */
+    /** Runs all timers up to a time in milliseconds, and after each one the promise callbacks that it triggers. */
     async runUntil(time: number): Promise<void> {
-        // What was settled before may set timers.
+        // Callbacks of promises that are already settled may set timers.
         await undefined;
         await undefined;
         for (let callback = this.takeDue(time); callback !== undefined; callback = this.takeDue(time)) {
@@ -60,7 +60,7 @@
         this.now = time;
     }
 
-    /** Runs all timers up to a time in milliseconds; promises that they settle go on after the call. */
+    /** Runs all timers up to a time in milliseconds. Promise callbacks that they trigger run after this call. */
     runTimersUntil(time: number): void {
         for (let callback = this.takeDue(time); callback !== undefined; callback = this.takeDue(time)) {
             callback();
@@ -68,7 +68,7 @@
         this.now = time;
     }
 
-    /** Takes the next timer that is due by a time and was not cancelled, and goes on to its time. */
+    /** Removes the next timer that is due by a time and isn't cancelled, and advances the clock to its time. */
     private takeDue(time: number): (() => void) | undefined {
         for (let next = this.timers.peek(); next !== undefined && next.time <= time; next = this.timers.peek()) {
             this.timers.pop();
--- a/tests/support/waitUntil.ts
+++ b/tests/support/waitUntil.ts
@@ -4,8 +4,8 @@
 const limitMilliseconds = 20_000;
 
 /**
- * Waits for a condition; the limit is only there to end a test that hangs.
- * @param what - What is waited for, for the error.
+ * Waits until a condition holds. The time limit only ends tests that hang.
+ * @param what - Condition in words, for the error message.
  * @param condition - Checked every few milliseconds.
  */
 export async function waitUntil(what: string, condition: () => boolean): Promise<void> {
@@ -15,5 +15,5 @@
         }
         await sleep(pollMilliseconds);
     }
-    throw new Error(`Waited in vain until ${what}.`);
+    throw new Error(`Timed out waiting until ${what}.`);
 }
