--- a/bench/admission/benchGate.ts
+++ b/bench/admission/benchGate.ts
@@ -2,7 +2,10 @@
 import type { AdmissionOptions } from "../../src/request/admission/admissionOptions.ts";
 import type { AdmissionRequest } from "../../src/request/admission/admissionRequest.ts";
 
-/** Admission control as the benchmark calls it. It calls back once, either with a function that ends the run or with a retry delay. */
+/**
+ * Admission control as the benchmark calls it. It calls back once, either with a function that ends the run or with a
+ * retry delay.
+ */
 export type BenchGate = (
     request: AdmissionRequest,
     onAdmit: (release: (tokens: number) => void) => void,
@@ -26,7 +29,10 @@
             });
         };
     },
-    /** Creates an unbounded first-in, first-out queue without refusals. Waiting requests are dropped when their callers disconnect. */
+    /**
+     * Creates an unbounded first-in, first-out queue without refusals. Waiting requests are dropped when their callers
+     * disconnect.
+     */
     createFirstInFirstOut: (places: number): BenchGate => {
         const waiting: { request: AdmissionRequest; onAdmit: (release: (tokens: number) => void) => void; }[] = [];
         let head = 0;
--- a/bench/admission/main.ts
+++ b/bench/admission/main.ts
@@ -5,7 +5,7 @@
 import { measureReturns } from "./measureReturns.ts";
 import { measureSharedLimits } from "./measureSharedLimits.ts";
 
-const parts: Record<string, () => Promise<void>> = {
+const measurements: Record<string, () => Promise<void>> = {
     goodput: measureGoodput,
     fairness: measureFairness,
     limits: measureSharedLimits,
@@ -13,9 +13,9 @@
     concurrency: measureConcurrency,
     cost: measureCost,
 };
-const chosen = process.argv.slice(2);
-for (const [name, measure] of Object.entries(parts)) {
-    if (chosen.length === 0 || chosen.includes(name)) {
+const selected = process.argv.slice(2);
+for (const [name, measure] of Object.entries(measurements)) {
+    if (selected.length === 0 || selected.includes(name)) {
         const startedAt = performance.now();
         await measure();
         console.log(`(${name}: ${((performance.now() - startedAt) / 1000).toFixed(1)} s)`);
--- a/bench/admission/measureSharedLimits.ts
+++ b/bench/admission/measureSharedLimits.ts
@@ -67,7 +67,10 @@
 interface Exchange {
     name: string;
     nodeCount: number;
-    /** Number of peers to which each node sends its demand per round; undefined if one node per customer sums the demands. */
+    /**
+     * Number of peers to which each node sends its demand per round; undefined if one node per customer sums the
+     * demands.
+     */
     fanOut?: number;
 }
 
--- a/bench/experiment/createRequest.ts
+++ b/bench/experiment/createRequest.ts
@@ -4,7 +4,9 @@
 import type { SimulatedRequest } from "./simulatedRequest.ts";
 
 const smallCustomerCount = 9;
-/** Standard deviations of the logarithms of prompt lengths, answer lengths and the callers' estimates of answer lengths. */
+/**
+ * Standard deviations of the logarithms of prompt lengths, answer lengths and the callers' estimates of answer lengths.
+ */
 const promptLogDeviation = 0.8;
 const answerLogDeviation = 0.7;
 const estimateLogDeviation = 0.5;
--- a/bench/experiment/experiment.ts
+++ b/bench/experiment/experiment.ts
@@ -193,11 +193,11 @@
     private scheduleFaults(): void {
         for (const { kind, from, to, share, factor, nodeShare } of this.settings.faults) {
             const affectedEngines = this.engines.filter(() => this.random() < share);
-            const cutNodes = new Set([...this.nodes.keys()].filter(() => this.random() < nodeShare));
+            const disconnectedNodes = new Set([...this.nodes.keys()].filter(() => this.random() < nodeShare));
             this.clock.setTimer(from * secondMilliseconds, () => {
                 for (const engine of affectedEngines) {
                     engine.slowness = kind === "slow" ? factor : 1;
-                    engine.cutNodes = kind === "cut" ? cutNodes : new Set();
+                    engine.cutNodes = kind === "cut" ? disconnectedNodes : new Set();
                     if (kind === "lost") {
                         this.simulation.loseEngine(engine);
                     }
--- a/bench/experiment/experimentResult.ts
+++ b/bench/experiment/experimentResult.ts
@@ -25,6 +25,9 @@
     /** Requests that were refused at their first attempt, and those of them that a retry served. */
     returned: number;
     servedReturns: number;
-    /** Largest amount by which the fraction of a customer's requests served in time lies below that of all requests, 0 to 1. */
+    /**
+     * Largest amount by which the fraction of a customer's requests served in time lies below that of all requests, 0
+     * to 1.
+     */
     customerShortfall: number;
 }
--- a/bench/experiment/simulatedProtocol.ts
+++ b/bench/experiment/simulatedProtocol.ts
@@ -16,7 +16,10 @@
         return { method: "POST", target: "/", headers, body: emptyBody };
     },
 
-    /** Reads the headers written by {@link createRequest}. The target of the request is the number of events in the answer. */
+    /**
+     * Reads the headers written by {@link createRequest}. The target of the request is the number of events in the
+     * answer.
+     */
     readSent([requestId = "", addresses = "", promptTokens, events, lastEvent]: readonly string[]) {
         return {
             requestId,
--- a/bench/policy/computeFleetBound.ts
+++ b/bench/policy/computeFleetBound.ts
@@ -6,7 +6,10 @@
 import { EngineStandin } from "./engineStandin.ts";
 import type { Fleet } from "./fleet.ts";
 
-/** Computes the throughput bound of a fleet by a maximum flow over the engines' actual speeds, with nodes spread evenly over the data centres. */
+/**
+ * Computes the throughput bound of a fleet by a maximum flow over the engines' actual speeds, with nodes spread evenly
+ * over the data centres.
+ */
 export function computeFleetBound({ configuration, speeds }: Fleet): FlowBound {
     const clock = VirtualClock.create();
     const endpoints = Object.entries(configuration.endpoints);
--- a/bench/policy/decisionCost.ts
+++ b/bench/policy/decisionCost.ts
@@ -17,7 +17,7 @@
     percentile99: number;
 }
 
-/** Measures the time to choose and reserve a chain while up to 100 earlier sequences run. */
+/** Measures the time to choose and reserve a chain while 100 earlier sequences run. */
 export function measureDecisionCost(policy: Policy, runners: number, models: number): DecisionCost {
     const fleet = createFleet(runners, models, createSeededRandom(1));
     const random = createSeededRandom(2);
--- a/bench/policy/engineStandin.ts
+++ b/bench/policy/engineStandin.ts
@@ -64,7 +64,10 @@
         return baseMilliseconds + perLayerMilliseconds * layers + perWorkMilliseconds * work;
     }
 
-    /** Runs one step with the oldest passes that fit. At first, a pass gets at most a quarter of the batch, so that a long prompt doesn't fill it. */
+    /**
+     * Runs one step with the oldest passes that fit. At first, a pass gets at most a quarter of the batch, so that a
+     * long prompt doesn't fill it.
+     */
     private step(): void {
         const { batchPositions } = this.speed;
         this.occupied.fill(0);
--- a/bench/policy/greedyChooser.ts
+++ b/bench/policy/greedyChooser.ts
@@ -18,7 +18,10 @@
     maximumSequences: number;
 }
 
-/** A baseline that builds a chain from layer 0 on. Each stage is the endpoint of lowest rank that holds the next layer, and runs all layers that the endpoint holds from there on. */
+/**
+ * A baseline that builds a chain from layer 0 on. Each stage is the endpoint of lowest rank that holds the next layer,
+ * and runs all layers that the endpoint holds from there on.
+ */
 export class GreedyChooser implements ChainChooser {
     private readonly configuration: Configuration;
     private readonly rank: RankEndpoint;
--- a/bench/policy/linkStandin.ts
+++ b/bench/policy/linkStandin.ts
@@ -1,7 +1,10 @@
 import type { Clock } from "../../src/process/clock.ts";
 import type { LinkTable } from "../../src/request/chain/linkTable.ts";
 
-/** Stand-in for the links between data centres. In each direction, a link sends one message at a time at its bandwidth and delivers it after its latency. */
+/**
+ * Stand-in for the links between data centres. In each direction, a link sends one message at a time at its bandwidth
+ * and delivers it after its latency.
+ */
 export class LinkStandin {
     private readonly clock: Clock;
     private readonly links: LinkTable;
--- a/bench/policy/tokenRecorder.ts
+++ b/bench/policy/tokenRecorder.ts
@@ -37,7 +37,10 @@
         histogram.recordValue(Math.round(waited * 1_000));
     }
 
-    /** Gets the rates over a number of seconds, and the median, 95th and 99th percentile of the latencies in milliseconds. */
+    /**
+     * Gets the rates over a number of seconds, and the median, 95th and 99th percentile of the latencies in
+     * milliseconds.
+     */
     getResult(seconds: number) {
         return {
             tokensPerSecond: this.tokens / seconds,
--- a/bench/recovery/faults.ts
+++ b/bench/recovery/faults.ts
@@ -3,32 +3,32 @@
 
 const slowFactor = 10;
 
-const getOne = (_fleet: EngineFleet, engine: string) => [engine];
+const getSingleEngine = (_fleet: EngineFleet, engine: string) => [engine];
 const restart = (fleet: EngineFleet, engine: string) => fleet.restart(engine);
 
 /** Faults of engines and of the connections to them, in order of decreasing frequency. */
 export const faults: readonly Fault[] = [
     {
         name: "stage dies",
-        getStruck: getOne,
+        getStruck: getSingleEngine,
         strike: (fleet, engine) => fleet.signal(engine, "SIGKILL"),
         repair: restart,
     },
     {
         name: "stage freezes",
-        getStruck: getOne,
+        getStruck: getSingleEngine,
         strike: (fleet, engine) => fleet.signal(engine, "SIGSTOP"),
         repair: restart,
     },
     {
         name: "connections go silent",
-        getStruck: getOne,
+        getStruck: getSingleEngine,
         strike: (fleet, engine) => fleet.setFaults(engine, { freezeExistingConnections: true }),
         repair: restart,
     },
     {
         name: "stage slows tenfold",
-        getStruck: getOne,
+        getStruck: getSingleEngine,
         strike: (fleet, engine) => fleet.setFaults(engine, { slowFactor }),
         repair: (fleet, engine) => fleet.setFaults(engine, { slowFactor: 1 }),
     },
--- a/bench/recovery/measureNodeDeath.ts
+++ b/bench/recovery/measureNodeDeath.ts
@@ -3,7 +3,7 @@
 import { type ChatOutcome, sendChat } from "../../scripts/deployment/sendChat.ts";
 import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
 
-/** Latencies that callers see when nodes die, in milliseconds. */
+/** Figures of the callers while nodes die. Times are in milliseconds. */
 export interface NodeDeathFigures {
     /** Times from the node's death to the first token of the retry at another node. */
     firstTokens: number[];
@@ -65,11 +65,11 @@
     };
     const callers = Promise.all(Array.from({ length: streams }, (_, index) => runCaller(index)));
     await sleep(killDelayMilliseconds);
-    const victim = deployment.nodes[0]!;
+    const killedNode = deployment.nodes[0]!;
     diedAt = performance.now();
-    victim.process.signal("SIGKILL");
+    killedNode.process.signal("SIGKILL");
     await callers;
-    await deployment.forgetNode(victim);
+    await deployment.forgetNode(killedNode);
     await deployment.startNode();
 }
 
--- a/bench/recovery/plainRouter.ts
+++ b/bench/recovery/plainRouter.ts
@@ -23,8 +23,8 @@
 
 /**
  * Baseline router. It chooses chains as a node does, but has a fixed timeout per pass, no probes and no state of
- * endpoints besides the chooser's estimates, and retries the whole answer from the prompt. Tokens that an earlier attempt
- * emitted are not emitted again.
+ * endpoints besides the chooser's estimates, and retries the whole answer from the prompt. Tokens that an earlier
+ * attempt emitted are not emitted again.
  */
 export class PlainRouter implements Router {
     readonly counts: RouterCounts = { brokenAttempts: new Map(), replacedConnections: 0 };
@@ -97,7 +97,7 @@
         return this.chooser.chooseChain(options).unwrap();
     }
 
-    /** Generates the whole answer once. Returns the endpoint that failedEndpoint, if any. */
+    /** Generates the whole answer once. Returns the endpoint that failed, if any. */
     private async runAttempt(
         request: RouterRequest,
         chain: Chain,
--- a/tests/bench/experiment.test.ts
+++ b/tests/bench/experiment.test.ts
@@ -25,7 +25,7 @@
         assert.ok(goodput.least > 0.98, `${goodput.least}`);
     });
 
-    it("keep goodput high and even at twice the load, with few refusals by endpoints", () => {
+    it("keep goodput high and even over time at twice the load, with few refusals by endpoints", () => {
         const { goodput, worstOfBest, refusedPart, preemptedPart } = runLoad("overload-2x");
         assert.ok(goodput.least > 0.85, `${goodput.least}`);
         assert.ok(worstOfBest > 0.7, `${worstOfBest}`);
@@ -33,7 +33,7 @@
         assert.ok(preemptedPart < 0.01, `${preemptedPart}`);
     });
 
-    it("keep goodput even over time and across customers at four times the load, with few refusals by endpoints", () => {
+    it("keep goodput even at four times the load, over time and across customers, with few refusals", () => {
         const { goodput, worstOfBest, refusedPart, preemptedPart, customerShortfall } = runLoad("overload-4x");
         assert.ok(goodput.least > 0.55, `${goodput.least}`);
         assert.ok(worstOfBest > 0.65, `${worstOfBest}`);
--- a/tests/support/createSeededRandom.ts
+++ b/tests/support/createSeededRandom.ts
@@ -3,7 +3,7 @@
 
 /** Spreads consecutive seeds over the 32-bit range: about 2^32 divided by the golden ratio. */
 const seedMultiplier = 0x9e3779b1;
-/** Count of numbers skipped at the start of a sequence, which are similar for similar seeds. */
+/** Number of skipped values at the start of a sequence, which are similar for similar seeds. */
 const skippedNumbers = 16;
 
 /** Creates a pseudo-random source. The same seed gives the same sequence. */
--- a/tests/support/fakeClock.ts
+++ b/tests/support/fakeClock.ts
@@ -34,7 +34,9 @@
         return { cancel: () => void this.timers.delete(timer) };
     }
 
-    /** Advances the clock. Runs the timers that become due in order, and the promise callbacks that follow from each. */
+    /**
+     * Advances the clock. Runs the timers that become due in order, and the promise callbacks that follow from each.
+     */
     async advance(milliseconds: number): Promise<void> {
         const end = this.time + milliseconds;
         await settle();
--- a/tests/support/leaveWhileBusy.ts
+++ b/tests/support/leaveWhileBusy.ts
@@ -8,7 +8,9 @@
 /** Time in which all forwarded requests arrive. */
 const settleMilliseconds = 300;
 
-/** Makes callers send requests and disconnect while this thread is blocked, and waits until the effects have arrived. */
+/**
+ * Makes callers send requests and disconnect while this thread is blocked, and waits until the effects have arrived.
+ */
 export async function leaveWhileBusy(
     { address, ...callers }: Omit<LeavingCallersPlan, "host" | "port" | "leaveMilliseconds"> & { address: string; },
 ): Promise<void> {
--- a/tests/support/memoryStore.ts
+++ b/tests/support/memoryStore.ts
@@ -85,7 +85,9 @@
         this.lostAnswers = count;
     }
 
-    /** Makes the next calls of any method but `watch` have no effect. Callers get the same error as for a lost answer. */
+    /**
+     * Makes the next calls of any method but `watch` have no effect. Callers get the same error as for a lost answer.
+     */
     loseRequests(count: number): void {
         this.lostRequests = count;
     }
@@ -105,7 +107,10 @@
         return new Map(this.values);
     }
 
-    /** Restores an older copy of the values, as a service restored from a backup does. Revisions continue from the current one. */
+    /**
+     * Restores an older copy of the values, as a service restored from a backup does. Revisions continue from the
+     * current one.
+     */
     restore(snapshot: ReadonlyMap<string, StoredValue>): void {
         this.values = new Map(snapshot);
     }
