--- a/bench/capacity/pathFigures.ts
+++ b/bench/capacity/pathFigures.ts
@@ -1,7 +1,9 @@
-/** Figures of a node that are no slopes. */
+/** Measurements of the data path that aren't slopes. */
 export interface PathFigures {
-    /** After the requests of the hop measurement, with nothing running. */
+    /** Heap of the node after the hop measurement, when no requests are running. */
     heapMebibytes: number;
+    /** Resident memory of the node at the same time. */
     residentMebibytes: number;
+    /** Throughput and processor time for each number of concurrent callers. */
     callers: readonly { callers: number; hopsPerSecond: number; microsecondsPerHop: number; }[];
 }
--- a/scripts/soak/runSoak.ts
+++ b/scripts/soak/runSoak.ts
@@ -30,12 +30,11 @@
     ...platformFaultKinds,
     ...nodeFaultKinds,
 };
-const quietEndMilliseconds = 4_000;
+const recoveryMilliseconds = 4_000;
 const millisecondsPerSecond = 1_000;
 
 /**
- * Runs load and seeded faults against real processes and checks the promises from outside.
- * @param options - Seed, length and what to run.
+ * Runs a soak test of `foxlead node`: a load and seeded faults against real processes, with checks from the outside.
  */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
     const log = LogTail.create();
@@ -96,7 +95,7 @@
     const startedAt = Date.now();
     await faults.runBeside(load, options.milliseconds);
     const seconds = (Date.now() - startedAt) / millisecondsPerSecond;
-    await sleep(quietEndMilliseconds);
+    await sleep(recoveryMilliseconds);
     watch.checkEnd();
     const exitCodes = await stopAll(fleet, watch);
     const keys = await checkKeys(deployment, records, violations);
--- a/src/process/orders/loadPlanner.ts
+++ b/src/process/orders/loadPlanner.ts
@@ -8,37 +8,37 @@
 import type { PlannedLoad } from "./plannedLoad.ts";
 import { planOrders } from "./planOrders.ts";
 
-/** What a planner reads from. */
+/** Options of a {@link LoadPlanner}. */
 interface LoadPlannerOptions {
     dispatcher: OrderDispatcherOptions;
-    ledger: LoadLedger;
+    loadTracker: LoadLedger;
     statuses: EngineStatuses;
-    /** Gets the engines as they are now. */
+    /** Gets the current state of the engines. */
     observe(): ObservedEngine[];
 }
 
-/** Plans loads from what engines report just then. */
+/** Plans loads from the current statuses of engines. */
 export class LoadPlanner {
     private readonly options: LoadPlannerOptions;
-    private unmetRanges = 0;
+    /** Number of ranges that no engine can load, as of the last plan. Kept so that only increases are logged. */
+    private unplacedRanges = 0;
 
     private constructor(options: LoadPlannerOptions) {
         this.options = options;
     }
 
-    /** Creates a planner. */
     static create(options: LoadPlannerOptions): LoadPlanner {
         return new LoadPlanner(options);
     }
 
-    /** Plans as many loads as the budget allows; reads engines only where layers lack holders. */
+    /** Plans as many loads as the limits allow. Reads statuses of engines only if layers lack holders. */
     async plan(): Promise<PlannedLoad[]> {
-        const { dispatcher, ledger, observe } = this.options;
+        const { dispatcher, loadTracker, observe } = this.options;
         const { clock, getConfiguration, policy } = dispatcher;
-        const slots = ledger.getSlots(clock.getMonotonicTime());
+        const slots = loadTracker.getSlots(clock.getMonotonicTime());
         const shortages = this.countShortages(observe());
         if (slots === 0 || shortages === 0) {
-            this.unmetRanges = Math.min(this.unmetRanges, shortages);
+            this.unplacedRanges = Math.min(this.unplacedRanges, shortages);
             return [];
         }
         const freePositions = await this.readFreePositions();
@@ -47,25 +47,25 @@
             configuration: getConfiguration(),
             engines,
             freePositions,
-            loads: ledger.getPending(),
-            excluded: ledger.getExcluded(clock.getMonotonicTime()),
+            loads: loadTracker.getPending(),
+            excluded: loadTracker.getExcluded(clock.getMonotonicTime()),
             slots,
             wantedHolders: policy.wantedHolders,
         });
-        this.reportUnmet(planned.length < slots ? this.countShortages(engines) - planned.length : 0);
+        this.reportUnplaced(planned.length < slots ? this.countShortages(engines) - planned.length : 0);
         return planned;
     }
 
     private countShortages(engines: readonly ObservedEngine[]): number {
-        const { dispatcher, ledger } = this.options;
+        const { dispatcher, loadTracker } = this.options;
         const configuration = dispatcher.getConfiguration();
-        const coverage = LayerCoverage.create(configuration.models, engines, ledger.getPending());
+        const coverage = LayerCoverage.create(configuration.models, engines, loadTracker.getPending());
         return findShortages(configuration, coverage, dispatcher.policy.wantedHolders).length;
     }
 
     private async readFreePositions(): Promise<Map<string, number>> {
-        const { dispatcher, ledger, statuses, observe } = this.options;
-        const excluded = ledger.getExcluded(dispatcher.clock.getMonotonicTime());
+        const { dispatcher, loadTracker, statuses, observe } = this.options;
+        const excluded = loadTracker.getExcluded(dispatcher.clock.getMonotonicTime());
         const names: string[] = [];
         for (const { endpoint, isSteady } of observe()) {
             if (isSteady && !excluded.has(endpoint)) {
@@ -75,11 +75,11 @@
         return await statuses.readFreePositions(names);
     }
 
-    /** Tells of ranges that no engine can load, once until they are fewer. */
-    private reportUnmet(ranges: number): void {
-        if (ranges > this.unmetRanges) {
+    /** Logs the number of ranges that no engine can load whenever it increases. */
+    private reportUnplaced(ranges: number): void {
+        if (ranges > this.unplacedRanges) {
             this.options.dispatcher.log.write(events.layersWithoutEngine, { ranges });
         }
-        this.unmetRanges = ranges;
+        this.unplacedRanges = ranges;
     }
 }
--- a/src/process/placement/endpointSettling.ts
+++ b/src/process/placement/endpointSettling.ts
@@ -1,52 +1,58 @@
-/** The endpoints of a service as they were seen last. */
-interface SeenEndpoints {
-    /** Their ids, in order. */
+/** The endpoints of a service when they were last checked. */
+interface EndpointSnapshot {
+    /** Ids of the endpoints, in order. */
     signature: string;
-    /** Monotonic time in milliseconds since which they are the same. */
+    /** Monotonic time since which the endpoints are unchanged, in milliseconds. */
     since: number;
 }
 
-/** Endpoints register within about a second of each other; a plan from half of them would waste the others. */
-const settleMilliseconds = 900;
+/**
+ * Time without changes after which the endpoints count as complete. Endpoints register within about a second of each
+ * other, and a plan made from half of them would leave the others unused.
+ */
+const stabilityMilliseconds = 900;
 
-/** Tells whether the endpoints of a service have stood still long enough, once, to plan from them or to move a holder. */
+/**
+ * Tracks if the set of endpoints of a service has once been unchanged for long enough to plan from it or to move an
+ * endpoint between columns.
+ */
 export class EndpointSettling {
-    private readonly seen = new Map<string, SeenEndpoints>();
-    /** Services whose endpoints have stood still. Later losses are acted on at once. */
-    private readonly settled = new Set<string>();
+    private readonly snapshots = new Map<string, EndpointSnapshot>();
+    /** Services whose endpoints have become stable. They stay in the set, so later losses are handled immediately. */
+    private readonly stableServices = new Set<string>();
 
     private constructor() {}
 
-    /** Creates a record in which no service has settled. */
+    /** Creates an instance in which no service has stable endpoints. */
     static create(): EndpointSettling {
         return new EndpointSettling();
     }
 
-    /** Waits anew for the endpoints of each service. */
+    /** Waits again for the endpoints of each service to become stable. */
     restart(): void {
-        this.settled.clear();
+        this.stableServices.clear();
     }
 
     /**
-     * Notes the endpoints of a service; whether they have settled.
+     * Records the endpoints of a service and gets if they are stable.
      * @param service - Name of the service.
-     * @param endpoints - Those that stay.
+     * @param endpoints - Endpoints that are not draining.
      * @param now - Monotonic time in milliseconds.
      */
     note(service: string, endpoints: readonly { id: string; }[], now: number): boolean {
-        if (this.settled.has(service)) {
+        if (this.stableServices.has(service)) {
             return true;
         }
         const signature = endpoints.map(({ id }) => id).join();
-        const known = this.seen.get(service);
-        if (known?.signature !== signature) {
-            this.seen.set(service, { signature, since: now });
+        const snapshot = this.snapshots.get(service);
+        if (snapshot?.signature !== signature) {
+            this.snapshots.set(service, { signature, since: now });
             return false;
         }
-        if (now - known.since < settleMilliseconds) {
+        if (now - snapshot.since < stabilityMilliseconds) {
             return false;
         }
-        this.settled.add(service);
+        this.stableServices.add(service);
         return true;
     }
 }
