--- a/src/process/leases/fencedLease.ts
+++ b/src/process/leases/fencedLease.ts
@@ -60,7 +60,7 @@
         if (!this.isRunning) {
             this.isRunning = true;
             this.isRelinquished = false;
-            this.state.setSought(true);
+            this.state.setWanted(true);
             this.apply(this.state.wake(this.getTime()));
         }
     }
@@ -85,12 +85,12 @@
         this.isRelinquished = true;
         this.timer?.cancel();
         this.timer = undefined;
-        this.state.setSought(false);
+        this.state.setWanted(false);
         if (this.isHeld()) {
             void this.release();
             return;
         }
-        this.apply(this.state.look(this.getTime()));
+        this.apply(this.state.readIfUnknown(this.getTime()));
     }
 
     /** Stops permanently and releases the lease. No order may be in flight. */
@@ -112,7 +112,7 @@
         const revision = outcome.ok && outcome.val.swapped ? outcome.val.revision : undefined;
         if (revision !== undefined && fencingNumber !== undefined) {
             this.newestRelease = { revision, fencingNumber };
-            this.state.noteOwnRelease(this.newestRelease, this.getTime());
+            this.state.recordOwnRelease(this.newestRelease, this.getTime());
         }
     }
 
--- a/src/process/leases/leaseState.ts
+++ b/src/process/leases/leaseState.ts
@@ -92,12 +92,12 @@
     }
 
     /** Sets whether to acquire and renew the lease. */
-    setSought(isWanted: boolean): void {
+    setWanted(isWanted: boolean): void {
         this.isWanted = isWanted;
     }
 
     /** Requests a read of the record if it was never seen. */
-    look(time: EventTime): LeaseOutput {
+    readIfUnknown(time: EventTime): LeaseOutput {
         if (this.observed !== undefined || this.isCalling || time.monotonic < this.retryAt) {
             return { logs: [] };
         }
@@ -124,7 +124,7 @@
     }
 
     /** Records that this process released the lease. It stays the last holder until another one is seen. */
-    noteOwnRelease(release: LeaseRelease, time: EventTime): void {
+    recordOwnRelease(release: LeaseRelease, time: EventTime): void {
         this.releasedFencingNumber = release.fencingNumber;
         this.setReleased(release, time);
     }
--- a/src/process/loop/loopWatch.ts
+++ b/src/process/loop/eventLoopMonitor.ts
@@ -3,8 +3,8 @@
 import { events } from "../logging/events.ts";
 import type { InputBarrier } from "./inputBarrier.ts";
 
-/** Options of a {@link LoopWatch}. */
-interface LoopWatchOptions {
+/** Options of a {@link EventLoopMonitor}. */
+interface EventLoopMonitorOptions {
     /** The clock whose timers are monitored. */
     clock: Clock;
     /** Defers late timers until all input that arrived before their expiry is read. */
@@ -30,21 +30,21 @@
  * It is the clock with which the parts of the node set their timers. A late timer runs after all input that has arrived is
  * read. Otherwise the input that it waits for, such as an answer, would count as missing although it has arrived.
  */
-export class LoopWatch implements Clock {
-    private readonly options: LoopWatchOptions;
+export class EventLoopMonitor implements Clock {
+    private readonly options: EventLoopMonitorOptions;
     private latestLag = { at: -Infinity, milliseconds: 0 };
     private loggedAt = -Infinity;
     private sample: { at: number; processorTime: number; };
     private longestJob = { name: "", milliseconds: 0 };
 
-    private constructor(options: LoopWatchOptions) {
+    private constructor(options: EventLoopMonitorOptions) {
         this.options = options;
         this.sample = { at: options.clock.getMonotonicTime(), processorTime: options.getProcessorTime() };
     }
 
     /** Creates a monitor. */
-    static create(options: LoopWatchOptions): LoopWatch {
-        return new LoopWatch(options);
+    static create(options: EventLoopMonitorOptions): EventLoopMonitor {
+        return new EventLoopMonitor(options);
     }
 
     /** Gets the monotonic time in milliseconds. */
--- a/src/process/replica/recordFollower.ts
+++ b/src/process/replica/recordFollower.ts
@@ -116,7 +116,7 @@
     }
 
     /** Checks if the last call was answered. */
-    isInContact(): boolean {
+    isStoreReachable(): boolean {
         return this.failures === 0;
     }
 
@@ -126,7 +126,7 @@
     }
 
     /** Handles the frontier of a peer. A wait that stays behind it is aborted and replaced by a new one. */
-    notePeerFrontier(frontier: number): void {
+    handlePeerFrontier(frontier: number): void {
         const { section, clock } = this.options;
         if (frontier <= section.getFrontier()) {
             this.behindSince = undefined;
--- a/src/process/router/changeFetching.ts
+++ b/src/process/router/changeFetcher.ts
@@ -13,8 +13,8 @@
 import type { RouterPeers } from "./routerPeers.ts";
 import { shouldFetch } from "./shouldFetch.ts";
 
-/** Options of {@link ChangeFetching}. */
-interface ChangeFetchingOptions {
+/** Options of {@link ChangeFetcher}. */
+interface ChangeFetcherOptions {
     sections: readonly RecordSection[];
     dataCentre: string;
     peers: RouterPeers;
@@ -25,7 +25,7 @@
     /** Called with the monotonic time at which this node's copy is known to have been current. */
     onFresh(freshAt: number): void;
     /** Called after applying changes that other nodes may lack. */
-    onNews(): void;
+    onUpdate(): void;
 }
 
 /** A peer that may have newer changes. */
@@ -44,23 +44,23 @@
 const maximumAgeMilliseconds = 0xffff_ffff;
 
 /** Fetches changes of the store from peers that are ahead, with one call per section at a time. */
-export class ChangeFetching {
-    private readonly options: ChangeFetchingOptions;
+export class ChangeFetcher {
+    private readonly options: ChangeFetcherOptions;
     private readonly fetching = new Set<string>();
     /** Monotonic time in milliseconds since which each section is known to be behind. */
     private readonly behindSince = new Map<string, number>();
 
-    private constructor(options: ChangeFetchingOptions) {
+    private constructor(options: ChangeFetcherOptions) {
         this.options = options;
     }
 
     /** Creates a fetcher, which is idle until a peer reports its frontiers. */
-    static create(options: ChangeFetchingOptions): ChangeFetching {
-        return new ChangeFetching(options);
+    static create(options: ChangeFetcherOptions): ChangeFetcher {
+        return new ChangeFetcher(options);
     }
 
     /** Compares the frontiers that a peer reports with those of this node, and fetches missing changes. */
-    noteFrontiers(peer: ChangeSourcePeer): void {
+    handlePeerFrontiers(peer: ChangeSourcePeer): void {
         const { sections, dataCentre, clock, isHub } = this.options;
         const now = clock.getMonotonicTime();
         for (const { section: name, revision } of peer.frontiers) {
@@ -84,7 +84,7 @@
     }
 
     /** Creates the response to a peer's fetch request. */
-    answer({ frontier }: FetchRequest, freshAge: number): FetchResponse {
+    createResponse({ frontier }: FetchRequest, freshAge: number): FetchResponse {
         const section = this.options.sections.find(({ name }) => name === frontier?.section);
         const missing = section?.getChangesSince(Number(frontier?.revision ?? 0));
         if (section === undefined || missing === undefined) {
@@ -102,7 +102,7 @@
     }
 
     /** Checks if this node's copies are at least as current as a peer's. */
-    hasAll(frontiers: readonly SectionFrontier[]): boolean {
+    isCaughtUpWith(frontiers: readonly SectionFrontier[]): boolean {
         return frontiers.every(({ section: name, revision }) => {
             const section = this.options.sections.find(candidate => candidate.name === name);
             return section === undefined || section.getFrontier() >= Number(revision);
@@ -124,7 +124,7 @@
         }
         this.applyFetched(section, response.changes, peer.address);
         this.behindSince.delete(section.name);
-        if (response.freshAge < maximumAgeMilliseconds && this.hasAll(peer.frontiers)) {
+        if (response.freshAge < maximumAgeMilliseconds && this.isCaughtUpWith(peer.frontiers)) {
             this.options.onFresh(sentAt - response.freshAge);
         }
     }
@@ -146,7 +146,7 @@
         if (section.getFrontier() > previousFrontier) {
             const fields = { section: section.name, address, records: records.length, frontier };
             this.options.log.write(events.routerChangesFetched, fields);
-            this.options.onNews();
+            this.options.onUpdate();
         }
     }
 }
--- a/src/process/router/chooseLimitSharers.ts
+++ b/src/process/router/chooseLimitSharers.ts
@@ -6,7 +6,7 @@
     /** The endpoint with the rate limit. */
     endpoint: { id: string; dataCentre: string; };
     /** Maximum number of nodes that share the limit. */
-    most: number;
+    maximumSharers: number;
     nodeId: string;
     /** All live nodes, including this one. */
     nodes: readonly { nodeId: string; dataCentre: string; }[];
@@ -15,8 +15,8 @@
 }
 
 /** Chooses the nodes that share an endpoint's rate limit: all nodes if they are few, otherwise nodes of its data centre first. */
-export function chooseLimitSharers({ endpoint, most, nodeId, nodes, owners }: SharerQuery): LimitSharers {
-    if (nodes.length <= most) {
+export function chooseLimitSharers({ endpoint, maximumSharers, nodeId, nodes, owners }: SharerQuery): LimitSharers {
+    if (nodes.length <= maximumSharers) {
         return { count: nodes.length, areAll: true, isOneOfThem: true };
     }
     const local: string[] = [];
@@ -25,7 +25,7 @@
         (node.dataCentre === endpoint.dataCentre ? local : remote).push(node.nodeId);
     }
     const key = `limit/${endpoint.id}`;
-    const sharers = owners.getOwners(key, local, most);
-    sharers.push(...owners.getOwners(key, remote, most - sharers.length));
+    const sharers = owners.getOwners(key, local, maximumSharers);
+    sharers.push(...owners.getOwners(key, remote, maximumSharers - sharers.length));
     return { count: sharers.length, areAll: false, isOneOfThem: sharers.includes(nodeId) };
 }
--- a/src/process/router/choosePartners.ts
+++ b/src/process/router/choosePartners.ts
@@ -1,6 +1,6 @@
 import type { RandomSource } from "../randomSource.ts";
 import type { KnownNode } from "./knownNode.ts";
-import { mostAcquainted } from "./mostAcquainted.ts";
+import { maximumFullMeshNodes } from "./maximumFullMeshNodes.ts";
 
 /** Input of {@link choosePartners}. */
 interface PartnerQuery {
@@ -42,7 +42,7 @@
  * @returns Their addresses.
  */
 export function choosePartners(query: PartnerQuery): Set<string> {
-    if (query.nodes.length < mostAcquainted) {
+    if (query.nodes.length < maximumFullMeshNodes) {
         return query.isBusy ? chooseRingSuccessors(query) : chooseRandom(query, idlePartnerCount);
     }
     const { sources, isHub, nodes, dataCentre, isBusy, random, round } = query;
--- a/src/process/router/endpointPoll.ts
+++ b/src/process/router/endpointPoller.ts
@@ -3,8 +3,8 @@
 import type { Clock, TimerHandle } from "../clock.ts";
 import type { EndpointReadings } from "./endpointReadings.ts";
 
-/** Options of a {@link EndpointPoll}. */
-interface EndpointPollOptions {
+/** Options of a {@link EndpointPoller}. */
+interface EndpointPollerOptions {
     nodeId: string;
     clock: Clock;
     readings: EndpointReadings;
@@ -27,17 +27,17 @@
  * Polls endpoints for their speed and memory use. The sorted endpoints are distributed over the sorted nodes, so that one node
  * polls each endpoint.
  */
-export class EndpointPoll {
-    private readonly options: EndpointPollOptions;
+export class EndpointPoller {
+    private readonly options: EndpointPollerOptions;
     private timer: TimerHandle | undefined;
 
-    private constructor(options: EndpointPollOptions) {
+    private constructor(options: EndpointPollerOptions) {
         this.options = options;
     }
 
     /** Creates a poller, which does nothing before {@link start}. */
-    static create(options: EndpointPollOptions): EndpointPoll {
-        return new EndpointPoll(options);
+    static create(options: EndpointPollerOptions): EndpointPoller {
+        return new EndpointPoller(options);
     }
 
     /** Starts to poll this node's share of the endpoints. */
@@ -74,6 +74,6 @@
         const hidden = report.usedTokenLayers - getExpectedTokenLayers(endpoint.id);
         const hiddenTokenLayers = hidden > minimumHiddenFraction * report.totalTokenLayers ? hidden : 0;
         const reading = { endpointId: endpoint.id, factor: report.slowness, hiddenTokenLayers, age: 0 };
-        readings.note(reading, clock.getMonotonicTime());
+        readings.add(reading, clock.getMonotonicTime());
     }
 }
--- a/src/process/router/endpointReadings.ts
+++ b/src/process/router/endpointReadings.ts
@@ -36,7 +36,7 @@
     }
 
     /** Stores a reading, unless a newer one is known. */
-    note({ endpointId, factor, hiddenTokenLayers, age }: EndpointReading, now: number): void {
+    add({ endpointId, factor, hiddenTokenLayers, age }: EndpointReading, now: number): void {
         const readAt = now - age;
         const known = this.readings.get(endpointId);
         if (known === undefined || known.readAt < readAt) {
--- a/src/process/router/endpointRegistry.ts
+++ b/src/process/router/endpointRegistry.ts
@@ -95,7 +95,7 @@
      * @param asked - The endpoint as it was known when the report was requested.
      * @param incarnation - Start time of its process, in Unix milliseconds.
      */
-    noteIncarnation(asked: RegisteredEndpoint, incarnation: number): void {
+    handleIncarnation(asked: RegisteredEndpoint, incarnation: number): void {
         for (const [key, { endpoint: known }] of this.endpoints) {
             if (known.registeredId !== asked.registeredId || incarnation <= known.incarnation) {
                 continue;
--- a/src/process/router/getRepeatPolicy.ts
+++ b/src/process/router/getRetryPolicy.ts
@@ -16,7 +16,7 @@
  * @param settings - Limits for all nodes together.
  * @param nodeCount - Number of nodes that may be alive, including this one.
  */
-export function getRepeatPolicy(
+export function getRetryPolicy(
     settings: Pick<RouterSettings, "repeatRatio" | "repeatSlack" | "repeatWindowMilliseconds">,
     nodeCount: number,
 ): RetryPolicy {
--- a/src/process/router/isStoreWatcher.ts
+++ b/src/process/router/isStoreWatcher.ts
@@ -13,6 +13,6 @@
     others: readonly KnownNode[],
     owners: RendezvousOwners,
 ): boolean {
-    const { following, refused } = listStoreWatchers([...others, own], owners);
-    return following.includes(own.nodeId) || refused.includes(own.nodeId);
+    const { watching, refused } = listStoreWatchers([...others, own], owners);
+    return watching.includes(own.nodeId) || refused.includes(own.nodeId);
 }
--- a/src/process/router/listStoreWatchers.ts
+++ b/src/process/router/listStoreWatchers.ts
@@ -22,7 +22,7 @@
 /** The nodes that call the store. */
 interface StoreWatchers {
     /** Ids of the nodes that watch it, from which the other nodes get changes. */
-    following: string[];
+    watching: string[];
     /** Ids of the candidates that the store refuses. They retry to detect when it serves them again. */
     refused: string[];
 }
@@ -37,7 +37,7 @@
     const ranked = owners.getOwners(watchKey, nodes.map(({ nodeId }) => nodeId), watchers * candidatesPerWatcher);
     const withoutStore = new Set(nodes.filter(({ isWithoutStore }) => isWithoutStore).map(({ nodeId }) => nodeId));
     return {
-        following: ranked.filter(nodeId => !withoutStore.has(nodeId)).slice(0, watchers),
+        watching: ranked.filter(nodeId => !withoutStore.has(nodeId)).slice(0, watchers),
         refused: ranked.filter(nodeId => withoutStore.has(nodeId)),
     };
 }
--- a/src/process/router/listNewsSources.ts
+++ b/src/process/router/listUpdateSources.ts
@@ -19,7 +19,7 @@
  * @param others - The other live nodes.
  * @param owners - Assigns duties to nodes without coordination.
  */
-export function listNewsSources(
+export function listUpdateSources(
     own: Pick<KnownNode, "nodeId" | "dataCentre" | "isWithoutStore">,
     others: readonly KnownNode[],
     owners: RendezvousOwners,
@@ -27,6 +27,6 @@
     const localIds = others.filter(({ dataCentre }) => dataCentre === own.dataCentre).map(({ nodeId }) => nodeId);
     const hubs = listHubs(own.dataCentre, [...localIds, own.nodeId], owners);
     const isHub = hubs.includes(own.nodeId);
-    const sources = new Set(isHub ? listStoreWatchers([...others, own], owners).following : hubs);
+    const sources = new Set(isHub ? listStoreWatchers([...others, own], owners).watching : hubs);
     return { isHub, addresses: others.filter(({ nodeId }) => sources.has(nodeId)).map(({ address }) => address) };
 }
--- a/src/process/router/mostAcquainted.ts
+++ b/src/process/router/maximumFullMeshNodes.ts
@@ -3,4 +3,4 @@
  * node makes the calls of half its pairs. With two partners per round, two nodes of different data centres would exchange
  * state only every two seconds, and nodes would send requests to full endpoints because of stale loads.
  */
-export const mostAcquainted = 13;
+export const maximumFullMeshNodes = 13;
--- a/src/process/router/nodeTable.ts
+++ b/src/process/router/nodeTable.ts
@@ -21,7 +21,7 @@
      * Adds or updates a node. Removes an earlier process at the same address.
      * @param node - The node and when it was last heard from.
      */
-    note(node: KnownNode): void {
+    update(node: KnownNode): void {
         if (node.nodeId === this.ownId) {
             return;
         }
--- a/src/process/router/peerExchange.ts
+++ b/src/process/router/peerExchange.ts
@@ -20,15 +20,15 @@
 import type { RendezvousOwners } from "../membership/rendezvousOwners.ts";
 import type { RandomSource } from "../randomSource.ts";
 import type { RecordSection } from "../replica/recordSection.ts";
-import { ChangeFetching } from "./changeFetching.ts";
+import { ChangeFetcher } from "./changeFetcher.ts";
 import { choosePartners } from "./choosePartners.ts";
 import type { KnownNode } from "./knownNode.ts";
-import { listNewsSources } from "./listNewsSources.ts";
-import { mostAcquainted } from "./mostAcquainted.ts";
+import { listUpdateSources } from "./listUpdateSources.ts";
+import { maximumFullMeshNodes } from "./maximumFullMeshNodes.ts";
 import type { NodeTable } from "./nodeTable.ts";
 import type { PeerState } from "./peerState.ts";
 import { RouterPeers } from "./routerPeers.ts";
-import type { StoreFollowing } from "./storeFollowing.ts";
+import type { StoreWatchController } from "./storeWatchController.ts";
 
 /** Options of {@link PeerExchange}. */
 interface PeerExchangeOptions {
@@ -37,7 +37,7 @@
     address: string;
     dataCentre: string;
     /** Tracks the store's state, as seen by this node and reported by peers. */
-    following: StoreFollowing;
+    storeWatch: StoreWatchController;
     /** Lease for placing layers; peers pass on that it was released. */
     lease: Pick<FencedLease, "getNewestRelease" | "noteRelease">;
     /** Addresses of the initial nodes; they may be stale or down. */
@@ -81,7 +81,7 @@
 export class PeerExchange {
     private readonly options: PeerExchangeOptions;
     private readonly peers: RouterPeers;
-    private readonly fetching: ChangeFetching;
+    private readonly fetching: ChangeFetcher;
     private timer: TimerHandle | undefined;
     private round = 0;
     private lastRoundAt = -Infinity;
@@ -89,17 +89,17 @@
 
     private constructor(options: PeerExchangeOptions) {
         this.options = options;
-        const { sections, dataCentre, clock, log, following } = options;
+        const { sections, dataCentre, clock, log, storeWatch } = options;
         this.peers = RouterPeers.create(log, clock);
-        this.fetching = ChangeFetching.create({
+        this.fetching = ChangeFetcher.create({
             sections,
             dataCentre,
             peers: this.peers,
             clock,
             log,
             isHub: () => this.listSources().isHub,
-            onFresh: freshAt => following.notePeerFresh(freshAt),
-            onNews: () => this.tellNews(),
+            onFresh: freshAt => storeWatch.recordPeerFreshTime(freshAt),
+            onUpdate: () => this.propagateUpdate(),
         });
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Schedules a round to pass on a new update without waiting for the next interval. */
-    tellNews(): void {
+    propagateUpdate(): void {
         const wait = Math.max(0, this.lastRoundAt + minimumRoundMilliseconds - this.getTime());
         this.timer?.cancel();
         this.timer = this.options.clock.setTimer(wait, () => this.runRound());
@@ -142,7 +142,7 @@
     }
 
     private getRoundInterval(): number {
-        return this.listLive().length < mostAcquainted ? roundMilliseconds : largeRoundMilliseconds;
+        return this.listLive().length < maximumFullMeshNodes ? roundMilliseconds : largeRoundMilliseconds;
     }
 
     private listLive(): KnownNode[] {
@@ -150,9 +150,9 @@
     }
 
     private listSources() {
-        const { nodeId, dataCentre, following, owners } = this.options;
-        const isWithoutStore = following.isWithoutStore();
-        return listNewsSources({ nodeId, dataCentre, isWithoutStore }, this.listLive(), owners);
+        const { nodeId, dataCentre, storeWatch, owners } = this.options;
+        const isWithoutStore = storeWatch.isWithoutStore();
+        return listUpdateSources({ nodeId, dataCentre, isWithoutStore }, this.listLive(), owners);
     }
 
     private choosePartners(): string[] {
@@ -187,7 +187,7 @@
      * capacity is shared based on stale loads.
      */
     private listPartnerCandidates(live: readonly KnownNode[]): readonly KnownNode[] {
-        return live.length < mostAcquainted
+        return live.length < maximumFullMeshNodes
             ? live
             : live.filter(node => !this.peers.isUnreachable(node.address));
     }
@@ -218,7 +218,7 @@
 
     /** Creates the state of this node for a request or a response. */
     private createOwnState(knownToPeer?: number): NodeState {
-        const { state, sections, following, lease } = this.options;
+        const { state, sections, storeWatch, lease } = this.options;
         const live = this.listLive();
         return create(NodeStateSchema, {
             sender: this.createOwnRecord(),
@@ -226,8 +226,8 @@
             knownNodes: live.length + 1,
             ...state.createRecords(this.getTime()),
             frontiers: sections.map(section => ({ section: section.name, revision: BigInt(section.getFrontier()) })),
-            storeFailureAge: this.getAge(following.getLastFailure()),
-            freshAge: this.getAge(following.getFreshTime()),
+            storeFailureAge: this.getAge(storeWatch.getLastFailure()),
+            freshAge: this.getAge(storeWatch.getFreshTime()),
             leaseRelease: encodeRelease(lease.getNewestRelease()),
         });
     }
@@ -237,18 +237,18 @@
     }
 
     private applyState(state: NodeState): void {
-        const { following, lease } = this.options;
+        const { storeWatch, lease } = this.options;
         const { sender, frontiers, storeFailureAge, leaseRelease } = state;
         this.applyNodes(state);
         for (const { section, revision } of frontiers) {
-            following.notePeerFrontier(section, Number(revision));
+            storeWatch.handlePeerFrontier(section, Number(revision));
         }
         if (sender !== undefined) {
-            this.fetching.noteFrontiers({ address: sender.address, dataCentre: sender.dataCentre, frontiers });
+            this.fetching.handlePeerFrontiers({ address: sender.address, dataCentre: sender.dataCentre, frontiers });
         }
-        this.options.state.takeRecords(state, this.getTime());
+        this.options.state.applyRecords(state, this.getTime());
         if (storeFailureAge < maximumAgeMilliseconds) {
-            following.notePeerFailure(this.getTime() - storeFailureAge);
+            storeWatch.recordPeerFailure(this.getTime() - storeFailureAge);
         }
         if (leaseRelease !== undefined) {
             const { revision, fencingNumber } = leaseRelease;
@@ -257,14 +257,14 @@
     }
 
     /** Applies a peer's state and responds with the state of this node. */
-    answer({ state = create(NodeStateSchema) }: ExchangeRequest): ExchangeResponse {
+    handleExchange({ state = create(NodeStateSchema) }: ExchangeRequest): ExchangeResponse {
         this.applyState(state);
         return create(ExchangeResponseSchema, { state: this.createOwnState(state.knownNodes) });
     }
 
     /** Responds with the store changes that a peer lacks. */
-    answerFetch(request: FetchRequest): FetchResponse {
-        return this.fetching.answer(request, this.getAge(this.options.following.getFreshTime()));
+    handleFetch(request: FetchRequest): FetchResponse {
+        return this.fetching.createResponse(request, this.getAge(this.options.storeWatch.getFreshTime()));
     }
 
     private applyResponse({ state }: ExchangeResponse, sentAt: number): void {
@@ -272,8 +272,8 @@
             return;
         }
         this.applyState(state);
-        if (state.freshAge < maximumAgeMilliseconds && this.fetching.hasAll(state.frontiers)) {
-            this.options.following.notePeerFresh(sentAt - state.freshAge);
+        if (state.freshAge < maximumAgeMilliseconds && this.fetching.isCaughtUpWith(state.frontiers)) {
+            this.options.storeWatch.recordPeerFreshTime(sentAt - state.freshAge);
         }
     }
 
@@ -281,13 +281,13 @@
         const now = this.getTime();
         for (const record of sender === undefined ? nodes : [sender, ...nodes]) {
             const { nodeId, address, dataCentre, age, isWithoutStore } = record;
-            this.options.nodes.note({ nodeId, address, dataCentre, isWithoutStore, heardAt: now - age });
+            this.options.nodes.update({ nodeId, address, dataCentre, isWithoutStore, heardAt: now - age });
         }
     }
 
     private createOwnRecord(): NodeRecord {
-        const { nodeId, address, dataCentre, following } = this.options;
-        const isWithoutStore = following.isWithoutStore();
+        const { nodeId, address, dataCentre, storeWatch } = this.options;
+        const isWithoutStore = storeWatch.isWithoutStore();
         return create(NodeRecordSchema, { nodeId, address, dataCentre, age: 0, isWithoutStore });
     }
 
--- a/src/process/router/peerState.ts
+++ b/src/process/router/peerState.ts
@@ -38,7 +38,7 @@
     /** Gets the demand of new requests at this node, in tokens per second. */
     getDemand(): number;
     /** Called when a peer has sent something that should be passed on immediately. */
-    onNews(): void;
+    onUpdate(): void;
 }
 
 /** Converts the state of the endpoints, as this node knows it, to and from peer messages. */
@@ -76,8 +76,8 @@
     }
 
     /** Applies the records of a peer's message. */
-    takeRecords(message: NodeState, now: number): void {
-        const { loads, health, quarantine, limits, readings, onNews } = this.options;
+    applyRecords(message: NodeState, now: number): void {
+        const { loads, health, quarantine, limits, readings, onUpdate } = this.options;
         if (message.sender !== undefined) {
             const reports = message.endpointLimits.map(({ endpointId, requestsPerSecond, age, demand }) => ({
                 endpointId,
@@ -94,13 +94,13 @@
                 || hasNewSuspicion;
         }
         if (hasNewSuspicion) {
-            onNews();
+            onUpdate();
         }
         for (const { fingerprint, endpointId, age } of message.endedRuns) {
             quarantine.takeRun({ fingerprint, endpointId, at: now - age });
         }
         for (const reading of message.readings) {
-            readings.note(reading, now);
+            readings.add(reading, now);
         }
     }
 }
--- a/src/process/router/quarantineKeeper.ts
+++ b/src/process/router/quarantinePersister.ts
@@ -7,8 +7,8 @@
 import type { PlatformStore } from "../platform/platformStore.ts";
 import { type QuarantineRecord, quarantineRecordSchema } from "./quarantineRecord.ts";
 
-/** Options of a {@link QuarantineKeeper}. */
-interface QuarantineKeeperOptions {
+/** Options of a {@link QuarantinePersister}. */
+interface QuarantinePersisterOptions {
     store: Pick<PlatformStore, "get" | "compareAndSwap"> & {
         /** Reads a key at a lower cost; the value may be some seconds old. */
         getStale: PlatformStore["get"];
@@ -28,8 +28,8 @@
  * Saves the quarantined requests to the platform's store, and loads them when the node starts. If all nodes end at once, no peer
  * is left that knows them, and a harmful request would end endpoints again.
  */
-export class QuarantineKeeper {
-    private readonly options: QuarantineKeeperOptions;
+export class QuarantinePersister {
+    private readonly options: QuarantinePersisterOptions;
     private timer: TimerHandle | undefined;
     private backoff = minimumBackoffMilliseconds;
     private isSynchronizing = false;
@@ -37,13 +37,13 @@
     private isWriteDue = false;
     private isStopped = false;
 
-    private constructor(options: QuarantineKeeperOptions) {
+    private constructor(options: QuarantinePersisterOptions) {
         this.options = options;
     }
 
     /** Creates an instance that does nothing before {@link start}. */
-    static create(options: QuarantineKeeperOptions): QuarantineKeeper {
-        return new QuarantineKeeper(options);
+    static create(options: QuarantinePersisterOptions): QuarantinePersister {
+        return new QuarantinePersister(options);
     }
 
     /** Starts to load what earlier nodes have saved. */
--- a/src/process/router/requestRouter.ts
+++ b/src/process/router/requestRouter.ts
@@ -11,7 +11,7 @@
 import { StreamRelay } from "../../request/relay/streamRelay.ts";
 import type { Route } from "../../version/routing/route.ts";
 import { events } from "../logging/events.ts";
-import type { LoopWatch } from "../loop/loopWatch.ts";
+import type { EventLoopMonitor } from "../loop/eventLoopMonitor.ts";
 import type { Metrics } from "../metrics/metrics.ts";
 import type { RoutingHolder } from "./routingHolder.ts";
 
@@ -21,7 +21,7 @@
     holder: RoutingHolder;
     stalls: StallWatch;
     metrics: Metrics;
-    loop: Pick<LoopWatch, "getLateness">;
+    loop: Pick<EventLoopMonitor, "getLateness">;
 }
 
 /** Retry delay given to callers; a node without a configuration gets one within about this time. */
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -27,19 +27,19 @@
 import { RecordSection } from "../replica/recordSection.ts";
 import { chooseLimitSharers } from "./chooseLimitSharers.ts";
 import { EndpointCalls } from "./endpointCalls.ts";
-import { EndpointPoll } from "./endpointPoll.ts";
+import { EndpointPoller } from "./endpointPoller.ts";
 import { EndpointReadings } from "./endpointReadings.ts";
 import { EndpointRegistry } from "./endpointRegistry.ts";
-import { getRepeatPolicy } from "./getRepeatPolicy.ts";
-import { HighestCount } from "./highestCount.ts";
+import { getRetryPolicy } from "./getRetryPolicy.ts";
 import { NodeTable } from "./nodeTable.ts";
 import { PeerExchange } from "./peerExchange.ts";
 import { PeerState } from "./peerState.ts";
-import { QuarantineKeeper } from "./quarantineKeeper.ts";
+import { QuarantinePersister } from "./quarantinePersister.ts";
 import { RequestRouter } from "./requestRouter.ts";
 import type { RouterNodeOptions } from "./routerNodeOptions.ts";
 import { RoutingHolder } from "./routingHolder.ts";
-import { StoreFollowing } from "./storeFollowing.ts";
+import { SlidingMaximum } from "./slidingMaximum.ts";
+import { StoreWatchController } from "./storeWatchController.ts";
 
 /** Time to live of the lease. It is renewed three times within it, and a lost holder is replaced after it. */
 const leaseTtlMilliseconds = 3_000;
@@ -59,28 +59,28 @@
     private readonly pools: UpstreamPools;
     private readonly registry: EndpointRegistry;
     private readonly holder: RoutingHolder;
-    private readonly following: StoreFollowing;
+    private readonly storeWatch: StoreWatchController;
     private readonly exchange: PeerExchange;
     private readonly lease: FencedLease;
     private readonly duty: PlacementDuty;
     private readonly router: RequestRouter;
-    private readonly poll: EndpointPoll;
+    private readonly poll: EndpointPoller;
     private readonly stalls: StallWatch;
     private readonly queue: RelayQueue;
     private readonly loads: EndpointLoads;
-    private readonly quarantineKeeper: QuarantineKeeper;
+    private readonly quarantinePersister: QuarantinePersister;
     private readonly health: EndpointHealth;
     private readonly limits: EndpointLimits;
     private peerServer: FramedServer | undefined;
     private isDraining = false;
     private cleanupTimer: TimerHandle | undefined;
-    private readonly nodeCount: HighestCount;
+    private readonly nodeCount: SlidingMaximum;
 
     private constructor(options: RouterNodeOptions) {
         this.options = options;
         const { settings, clock, random, log, store, keys, metrics, protocol, nodeId } = options;
         this.health = EndpointHealth.create(random);
-        this.nodeCount = HighestCount.create(initialNodeCount, clock.getMonotonicTime());
+        this.nodeCount = SlidingMaximum.create(initialNodeCount, clock.getMonotonicTime());
         this.queue = RelayQueue.create({
             clock,
             random,
@@ -99,11 +99,11 @@
             chooseSharers: (endpoint, most) => {
                 const self = { nodeId, dataCentre: settings.dataCentre };
                 const nodes = [self, ...this.nodes.getLiveNodes(clock.getMonotonicTime())];
-                return chooseLimitSharers({ endpoint, most, nodeId, nodes, owners: options.owners });
+                return chooseLimitSharers({ endpoint, maximumSharers: most, nodeId, nodes, owners: options.owners });
             },
             onNews: () => {
                 queue.wake();
-                this.exchange.tellNews();
+                this.exchange.propagateUpdate();
             },
         });
         const readings = EndpointReadings.create();
@@ -113,13 +113,13 @@
             onEnded: isHeldBack => {
                 metrics.endpointEndsTotal.inc({ outcome: isHeldBack ? "heldBack" : "suspected" });
                 // The caller may send the request again to any other node a moment later.
-                this.exchange.tellNews();
+                this.exchange.propagateUpdate();
                 if (isHeldBack) {
-                    this.quarantineKeeper.save();
+                    this.quarantinePersister.save();
                 }
             },
         });
-        this.quarantineKeeper = QuarantineKeeper.create({ store, key: keys.quarantine, quarantine, clock, log });
+        this.quarantinePersister = QuarantinePersister.create({ store, key: keys.quarantine, quarantine, clock, log });
         this.nodes = NodeTable.create(nodeId);
         this.pools = UpstreamPools.create(options.barrier, () => metrics.upstreamConnectionsTotal.inc());
         this.holder = RoutingHolder.create({
@@ -133,7 +133,7 @@
             readings,
             decode: options.decodeEndpoint,
             drainMilliseconds: settings.drainMilliseconds,
-            getLastStoreFailure: () => this.following.getLastFailure(),
+            getLastStoreFailure: () => this.storeWatch.getLastFailure(),
             onChange: () => this.scheduleCleanup(),
             onRestart: earlier => this.stalls.loseEndpoint(earlier),
         });
@@ -161,7 +161,7 @@
             timeToLiveMilliseconds: leaseTtlMilliseconds,
             longestOrderMilliseconds,
         });
-        this.following = StoreFollowing.create({
+        this.storeWatch = StoreWatchController.create({
             nodeId,
             clock,
             nodes: this.nodes,
@@ -181,7 +181,7 @@
             nodeId,
             address: settings.peerListener,
             dataCentre: settings.dataCentre,
-            following: this.following,
+            storeWatch: this.storeWatch,
             lease: this.lease,
             seeds: settings.seeds,
             nodes: this.nodes,
@@ -194,7 +194,7 @@
                 limits: this.limits,
                 readings,
                 getDemand: () => queue.getDemand(),
-                onNews: () => this.exchange.tellNews(),
+                onUpdate: () => this.exchange.propagateUpdate(),
             }),
             isBusy: () => queue.isBusy(),
             clock,
@@ -207,7 +207,7 @@
             clock,
             metrics,
             log,
-            onIncarnation: (endpoint, incarnation) => this.registry.noteIncarnation(endpoint, incarnation),
+            onIncarnation: (endpoint, incarnation) => this.registry.handleIncarnation(endpoint, incarnation),
         });
         const environment: RelayEnvironment = {
             dataCentre: settings.dataCentre,
@@ -224,7 +224,7 @@
                 clock,
                 log,
                 fetchReport: endpoint => calls.fetchReport(endpoint),
-                onFound: () => this.exchange.tellNews(),
+                onFound: () => this.exchange.propagateUpdate(),
             }),
             limits: this.limits,
             quarantine,
@@ -235,13 +235,13 @@
             pipeLoad: PipeLoad.create(),
             pipeShares: PipeShares.create(() => loads.getDemandPart(queue.getDemand(), this.getNodeCount())),
             getNodeCount: () => this.getNodeCount(),
-            repeats: RetryBudget.create(clock.getMonotonicTime(), () => getRepeatPolicy(settings, this.getNodeCount())),
+            repeats: RetryBudget.create(clock.getMonotonicTime(), () => getRetryPolicy(settings, this.getNodeCount())),
         };
         this.duty = PlacementDuty.create({
             store,
             lease: this.lease,
-            isStoreAnswering: () => !this.following.isWithoutStore(),
-            isCandidate: () => this.following.isStoreWatcher() && !this.isDraining,
+            isStoreAnswering: () => !this.storeWatch.isWithoutStore(),
+            isCandidate: () => this.storeWatch.isStoreWatcher() && !this.isDraining,
             clock,
             runLong: (name, action) => clock.run(name, action),
             log,
@@ -251,7 +251,7 @@
             sendOrder: (endpoint, order) => calls.sendLayerOrder(endpoint, order),
             fetchReport: endpoint => calls.fetchReport(endpoint),
         });
-        this.poll = EndpointPoll.create({
+        this.poll = EndpointPoller.create({
             nodeId,
             clock,
             readings,
@@ -287,12 +287,12 @@
             address: settings.peerListener,
             service: RouterService,
             handlers: {
-                exchange: request => this.exchange.answer(request),
-                fetch: request => this.exchange.answerFetch(request),
+                exchange: request => this.exchange.handleExchange(request),
+                fetch: request => this.exchange.handleFetch(request),
             },
         });
-        this.following.start();
-        this.quarantineKeeper.start();
+        this.storeWatch.start();
+        this.quarantinePersister.start();
         this.exchange.start();
         this.duty.start();
         this.poll.start();
@@ -338,8 +338,8 @@
 
     /** Stops the remaining parts and closes the connections. */
     async stop(): Promise<void> {
-        this.following.stop();
-        this.quarantineKeeper.stop();
+        this.storeWatch.stop();
+        this.quarantinePersister.stop();
         this.exchange.stop();
         this.pools.close();
         await this.peerServer?.close();
@@ -347,7 +347,7 @@
 
     private createFollower(section: RecordSection, prefix: string): RecordFollower {
         const { store, clock, random, log } = this.options;
-        const isStoreAnswering = () => this.following.isProbeAnswered();
+        const isStoreAnswering = () => this.storeWatch.isProbeAnswered();
         const callStore = () => store.isAnswering();
         return RecordFollower.create({ store, section, prefix, isStoreAnswering, callStore, clock, random, log });
     }
@@ -355,7 +355,7 @@
     /** Passes on a change from the store. Changes from a peer are passed on once all of them are applied. */
     private propagateStoreChange(source: ChangeSource): void {
         if (source === "store") {
-            this.exchange.tellNews();
+            this.exchange.propagateUpdate();
         }
     }
 
@@ -382,6 +382,6 @@
 
     private getNodeCount(): number {
         const now = this.options.clock.getMonotonicTime();
-        return this.nodeCount.note(1 + this.nodes.getLiveNodes(now).length, now);
+        return this.nodeCount.add(1 + this.nodes.getLiveNodes(now).length, now);
     }
 }
--- a/src/process/router/routerNodeOptions.ts
+++ b/src/process/router/routerNodeOptions.ts
@@ -3,8 +3,8 @@
 import type { Result } from "../../result.ts";
 import type { RoutingConfiguration } from "../../version/routing/routingConfiguration.ts";
 import type { EventLog } from "../logging/eventLog.ts";
+import type { EventLoopMonitor } from "../loop/eventLoopMonitor.ts";
 import type { InputBarrier } from "../loop/inputBarrier.ts";
-import type { LoopWatch } from "../loop/loopWatch.ts";
 import type { RendezvousOwners } from "../membership/rendezvousOwners.ts";
 import type { Metrics } from "../metrics/metrics.ts";
 import type { PlatformStore } from "../platform/platformStore.ts";
@@ -34,7 +34,7 @@
     version: string;
     settings: RouterSettings;
     /** Clock of all parts of the node, which measures the lag of the event loop. */
-    clock: LoopWatch;
+    clock: EventLoopMonitor;
     /** Delays outgoing messages until all received input is read. */
     barrier: Pick<InputBarrier, "pass">;
     random: RandomSource;
--- a/src/process/router/shouldFetch.ts
+++ b/src/process/router/shouldFetch.ts
@@ -1,5 +1,5 @@
 /** State of a section when a peer turns out to be ahead. */
-interface FetchSituation {
+interface FetchState {
     /** Whether a fetch of the section is in flight. */
     isFetching: boolean;
     /** Whether this node has no copy of the section yet. */
@@ -25,8 +25,8 @@
  * links fill up and calls time out while the old version stays in force. Therefore a section has one fetch in flight, and
  * only hubs fetch from another data centre without a delay.
  */
-export function shouldFetch(situation: FetchSituation): boolean {
-    const { isFetching, isEmpty, isNear, isHub, behindMilliseconds } = situation;
+export function shouldFetch(state: FetchState): boolean {
+    const { isFetching, isEmpty, isNear, isHub, behindMilliseconds } = state;
     if (isFetching) {
         return false;
     }
--- a/src/process/router/highestCount.ts
+++ b/src/process/router/slidingMaximum.ts
@@ -12,7 +12,7 @@
  * Maximum count over the last 30 seconds. Limits for all nodes together are divided by the number of nodes. A node that is
  * partitioned from the others must not take over their shares, since they are still alive on the other side.
  */
-export class HighestCount {
+export class SlidingMaximum {
     private buckets: CountBucket[];
 
     private constructor(count: number, now: number) {
@@ -24,12 +24,12 @@
      * @param count - Initial count.
      * @param now - Monotonic time in milliseconds.
      */
-    static create(count: number, now: number): HighestCount {
-        return new HighestCount(count, now);
+    static create(count: number, now: number): SlidingMaximum {
+        return new SlidingMaximum(count, now);
     }
 
     /** Adds the current count and gets the maximum. */
-    note(count: number, now: number): number {
+    add(count: number, now: number): number {
         const bucket = getBucket(now);
         const latest = this.buckets.at(-1);
         if (latest?.bucket === bucket) {
--- a/src/process/router/storeProbe.ts
+++ b/src/process/router/storeProbe.ts
@@ -41,7 +41,7 @@
     }
 
     /** Checks if the last call was answered. */
-    isInContact(): boolean {
+    isStoreReachable(): boolean {
         return this.isAnswered;
     }
 
--- a/src/process/router/storeFollowing.ts
+++ b/src/process/router/storeWatchController.ts
@@ -7,8 +7,8 @@
 import type { NodeTable } from "./nodeTable.ts";
 import { StoreProbe } from "./storeProbe.ts";
 
-/** Options of a {@link StoreFollowing}. */
-interface StoreFollowingOptions {
+/** Options of a {@link StoreWatchController}. */
+interface StoreWatchControllerOptions {
     nodeId: string;
     clock: Clock;
     nodes: NodeTable;
@@ -52,8 +52,8 @@
  * Decides from the live nodes whether this node watches the store or gets changes from other nodes. Tracks how current this
  * node's copy is, and when the store last failed.
  */
-export class StoreFollowing {
-    private readonly options: StoreFollowingOptions;
+export class StoreWatchController {
+    private readonly options: StoreWatchControllerOptions;
     private readonly probe: StoreProbe;
     private readonly startedAt: number;
     private timer: TimerHandle | undefined;
@@ -65,7 +65,7 @@
     private watchesUntil = -Infinity;
     private isSelectedWatcher = false;
 
-    private constructor(options: StoreFollowingOptions) {
+    private constructor(options: StoreWatchControllerOptions) {
         this.options = options;
         const { clock, callStore, configurationMilliseconds } = options;
         this.probe = StoreProbe.create({
@@ -77,8 +77,8 @@
     }
 
     /** Creates an instance that does nothing before {@link start}. */
-    static create(options: StoreFollowingOptions): StoreFollowing {
-        return new StoreFollowing(options);
+    static create(options: StoreWatchControllerOptions): StoreWatchController {
+        return new StoreWatchController(options);
     }
 
     /** Starts the followers and the periodic review. */
@@ -100,12 +100,12 @@
 
     /** Checks if the last probe was answered, so that more expensive calls are worthwhile. */
     isProbeAnswered(): boolean {
-        return this.probe.isInContact();
+        return this.probe.isStoreReachable();
     }
 
     /** Checks if the store refuses this node or does not answer it. */
     isWithoutStore(): boolean {
-        return !this.probe.isInContact() || !this.options.followers.every(follower => follower.isInContact());
+        return !this.probe.isStoreReachable() || !this.options.followers.every(follower => follower.isStoreReachable());
     }
 
     /** Checks if the last review selected this node to watch the store. */
@@ -125,19 +125,19 @@
     }
 
     /** Records when a peer's copy was last known to be current. This node's copy must have reached the same revision. */
-    notePeerFresh(freshAt: number): void {
+    recordPeerFreshTime(freshAt: number): void {
         this.lastPeerFreshTime = Math.max(this.lastPeerFreshTime, freshAt);
     }
 
     /** Records the last store failure that a peer knows of. */
-    notePeerFailure(failedAt: number): void {
+    recordPeerFailure(failedAt: number): void {
         this.lastPeerFailure = Math.max(this.lastPeerFailure, failedAt);
     }
 
     /** Passes a peer's frontier on to the follower of the section. */
-    notePeerFrontier(section: string, frontier: number): void {
+    handlePeerFrontier(section: string, frontier: number): void {
         const follower = this.options.followers.find(candidate => candidate.getSectionName() === section);
-        follower?.notePeerFrontier(frontier);
+        follower?.handlePeerFrontier(frontier);
     }
 
     private review(): void {
@@ -151,7 +151,7 @@
             follower.setActive(isActive);
         }
         // With few nodes no other node depends on this one, but during a store failure the followers wait for the probe.
-        const isFailing = followers.some(follower => !follower.isInContact());
+        const isFailing = followers.some(follower => !follower.isStoreReachable());
         this.probe.setActive(isActive && (isFailing || others.length >= independentNodeLimit));
         const hasPeers = others.length > 0 || now - this.startedAt > soleNodeMilliseconds;
         this.reviewLease(isWatcher, hasPeers);
--- a/tests/platform/routerBench.ts
+++ b/tests/platform/routerBench.ts
@@ -6,9 +6,9 @@
 import { KeyValueStore } from "../../platform/keyValueStore.ts";
 import { routerKeys } from "../../platform/routerKeys.ts";
 import { findFreePorts } from "../../scripts/deployment/findFreePorts.ts";
+import { EventLoopMonitor } from "../../src/process/loop/eventLoopMonitor.ts";
 import { getProcessorTime } from "../../src/process/loop/getProcessorTime.ts";
 import { InputBarrier } from "../../src/process/loop/inputBarrier.ts";
-import { LoopWatch } from "../../src/process/loop/loopWatch.ts";
 import { RendezvousOwners } from "../../src/process/membership/rendezvousOwners.ts";
 import { Metrics } from "../../src/process/metrics/metrics.ts";
 import { RouterNode } from "../../src/process/router/routerNode.ts";
@@ -92,7 +92,7 @@
         const log = RecordingEventLog.create();
         const store = KeyValueStore.create(storeAddress, () => undefined);
         const barrier = InputBarrier.create();
-        const clock = LoopWatch.create({ clock: systemClock, barrier, log, getProcessorTime });
+        const clock = EventLoopMonitor.create({ clock: systemClock, barrier, log, getProcessorTime });
         const node = RouterNode.create({
             nodeId: `node-${this.nodes.length}`,
             version: "test",
--- a/tests/process/loop/loopWatch.test.ts
+++ b/tests/process/loop/eventLoopMonitor.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
 import type { TimerHandle } from "../../../src/process/clock.ts";
-import { LoopWatch } from "../../../src/process/loop/loopWatch.ts";
+import { EventLoopMonitor } from "../../../src/process/loop/eventLoopMonitor.ts";
 
 interface LogLine {
     milliseconds?: number;
@@ -16,7 +16,7 @@
     let due: (() => void)[];
     let lines: LogLine[];
     let passages: (() => void)[];
-    let watch: LoopWatch;
+    let watch: EventLoopMonitor;
 
     beforeEach(() => {
         now = 0;
@@ -28,7 +28,7 @@
             due.push(callback);
             return { cancel: () => undefined };
         };
-        watch = LoopWatch.create({
+        watch = EventLoopMonitor.create({
             clock: { getMonotonicTime: () => now, getWallTime: () => now, setTimer },
             barrier: {
                 pass: action => {
--- a/tests/process/replica/recordFollower.test.ts
+++ b/tests/process/replica/recordFollower.test.ts
@@ -45,11 +45,11 @@
         const before = store.waits + store.reads;
         await advance(clock, 10_000);
         assert.equal(store.waits + store.reads, before);
-        assert.equal(follower.isInContact(), false);
+        assert.equal(follower.isStoreReachable(), false);
         store.isDown = false;
         isAnswering = true;
         await advance(clock, 2_000);
-        assert.equal(follower.isInContact(), true);
+        assert.equal(follower.isStoreReachable(), true);
     });
 
     // Guards against waiting on a lost call. While the store was unresponsive for 4.8 s, it lost the calls with which three nodes
@@ -63,13 +63,13 @@
         store.isSilent = true;
         store.endWaits();
         await advance(clock, 3_000);
-        assert.equal(follower.isInContact(), false);
+        assert.equal(follower.isStoreReachable(), false);
         store.isSilent = false;
         store.hasChanges = true;
         const before = store.waits;
         await advance(clock, 1_000);
         assert.ok(store.waits > before, "It has not asked again.");
-        assert.equal(follower.isInContact(), true);
+        assert.equal(follower.isStoreReachable(), true);
     });
 
     it("makes one cheap call for a long wait, and none for a wait that returns changes immediately", async () => {
--- a/tests/process/router/chooseLimitSharers.test.ts
+++ b/tests/process/router/chooseLimitSharers.test.ts
@@ -13,7 +13,7 @@
     });
 
     const choose = (nodeId: string, most: number, id = "x") =>
-        chooseLimitSharers({ endpoint: { id, dataCentre: "a" }, most, nodeId, nodes, owners });
+        chooseLimitSharers({ endpoint: { id, dataCentre: "a" }, maximumSharers: most, nodeId, nodes, owners });
     const list = (most: number, id?: string) =>
         nodes.map(({ nodeId }) => nodeId).filter(nodeId => choose(nodeId, most, id).isOneOfThem);
 
--- a/tests/process/router/endpointRegistry.test.ts
+++ b/tests/process/router/endpointRegistry.test.ts
@@ -81,9 +81,9 @@
         const getEndpoint = () => registry.getEndpoints("model")[0]!;
         registry.applyRecord({ key: "1", revision: 1, text: "born 5" }, "store");
         const asked = getEndpoint();
-        registry.noteIncarnation(asked, 4);
+        registry.handleIncarnation(asked, 4);
         assert.equal(getEndpoint(), asked);
-        registry.noteIncarnation(asked, 8);
+        registry.handleIncarnation(asked, 8);
         assert.deepEqual(restarted, ["1@5"]);
         assert.equal(getEndpoint().layers, undefined);
         registry.applyRecord({ key: "1", revision: 2, text: "born 5" }, "store");
--- a/tests/process/router/listNewsSources.test.ts
+++ b/tests/process/router/listUpdateSources.test.ts
@@ -2,7 +2,7 @@
 import { before, describe, it } from "node:test";
 import { RendezvousOwners } from "../../../src/process/membership/rendezvousOwners.ts";
 import type { KnownNode } from "../../../src/process/router/knownNode.ts";
-import { listNewsSources } from "../../../src/process/router/listNewsSources.ts";
+import { listUpdateSources } from "../../../src/process/router/listUpdateSources.ts";
 
 describe("listNewsSources", () => {
     let owners: RendezvousOwners;
@@ -19,7 +19,7 @@
     });
 
     function list(own: KnownNode) {
-        return listNewsSources(own, nodes.filter(node => node !== own), owners);
+        return listUpdateSources(own, nodes.filter(node => node !== own), owners);
     }
 
     it("reaches every node in two hops", () => {
--- a/tests/process/router/quarantineKeeper.test.ts
+++ b/tests/process/router/quarantinePersister.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { QuarantineKeeper } from "../../../src/process/router/quarantineKeeper.ts";
+import { QuarantinePersister } from "../../../src/process/router/quarantinePersister.ts";
 import { RequestQuarantine } from "../../../src/request/relay/quarantine/requestQuarantine.ts";
 import { FakeClock } from "../../support/fakeClock.ts";
 import { MemoryStore } from "../../support/memoryStore.ts";
@@ -18,7 +18,13 @@
     };
     const compareAndSwap = store.compareAndSwap.bind(store);
     const get = store.get.bind(store);
-    const keeper = QuarantineKeeper.create({ store: { get, getStale, compareAndSwap }, key, quarantine, clock, log });
+    const keeper = QuarantinePersister.create({
+        store: { get, getStale, compareAndSwap },
+        key,
+        quarantine,
+        clock,
+        log,
+    });
     const hold = (fingerprint: string) => {
         for (const endpointId of ["1", "2"]) {
             quarantine.noteEnded({ fingerprint, endpointId, at: clock.getMonotonicTime() }, "request");
--- a/tests/process/router/storeProbe.test.ts
+++ b/tests/process/router/storeProbe.test.ts
@@ -10,15 +10,15 @@
         const probe = StoreProbe.create({ intervalMilliseconds: 450, clock, callStore: async () => isAnswering });
         probe.setActive(true);
         await clock.advance(1_000);
-        assert.ok(probe.isInContact());
+        assert.ok(probe.isStoreReachable());
         const lastAnswer = probe.getLastAnswer();
         isAnswering = false;
         await clock.advance(1_000);
-        assert.ok(!probe.isInContact());
+        assert.ok(!probe.isStoreReachable());
         assert.ok(probe.getLastAnswer() <= lastAnswer + 450);
         isAnswering = true;
         await clock.advance(1_000);
-        assert.ok(probe.isInContact());
+        assert.ok(probe.isStoreReachable());
         probe.setActive(false);
     });
 
--- a/tests/process/router/storeFollowing.test.ts
+++ b/tests/process/router/storeWatchController.test.ts
@@ -4,7 +4,7 @@
 import { RecordFollower } from "../../../src/process/replica/recordFollower.ts";
 import { RecordSection } from "../../../src/process/replica/recordSection.ts";
 import { NodeTable } from "../../../src/process/router/nodeTable.ts";
-import { StoreFollowing } from "../../../src/process/router/storeFollowing.ts";
+import { StoreWatchController } from "../../../src/process/router/storeWatchController.ts";
 import { CountedStore } from "../../support/countedStore.ts";
 import { FakeClock } from "../../support/fakeClock.ts";
 import { RecordingEventLog } from "../../support/recordingEventLog.ts";
@@ -38,7 +38,7 @@
             random: () => 0.5,
             log,
         });
-        const controller = StoreFollowing.create({
+        const controller = StoreWatchController.create({
             nodeId: "own",
             clock,
             nodes,
@@ -61,7 +61,7 @@
             for (let passed = 0; passed < milliseconds; passed += 50) {
                 for (let index = 0; index < otherCount; index++) {
                     const heardAt = clock.getMonotonicTime();
-                    nodes.note({
+                    nodes.update({
                         nodeId: `node-${index}`,
                         address: `10.0.0.${index}:1`,
                         dataCentre: "a",
@@ -69,7 +69,7 @@
                         heardAt,
                     });
                 }
-                controller.notePeerFresh(clock.getMonotonicTime());
+                controller.recordPeerFreshTime(clock.getMonotonicTime());
                 await clock.advance(50);
             }
         };
