--- a/bench/experiment/simulatedCaller.ts
+++ b/bench/experiment/simulatedCaller.ts
@@ -72,7 +72,7 @@
             write: () => isCurrent() && this.handleEvent(() => close()),
             end: () => isCurrent() && this.end(this.meetsObjectives() ? "inAim" : "late"),
             refuse: refusal => isCurrent() && this.handleRefusal(refusal),
-            cut: () => isCurrent() && this.end("failed"),
+            abort: () => isCurrent() && this.end("failed"),
         });
     }
 
--- a/bench/experiment/simulatedEngine.ts
+++ b/bench/experiment/simulatedEngine.ts
@@ -1,4 +1,4 @@
-import { estimatePrefill } from "../../src/request/relay/estimatePrefill.ts";
+import { estimatePrefillTime } from "../../src/request/relay/estimatePrefillTime.ts";
 import { getMeanContext } from "../../src/request/relay/getMeanContext.ts";
 import { getRequestMemory } from "../../src/request/relay/getRequestMemory.ts";
 import type { HeldLayers } from "../../src/request/relay/heldLayers.ts";
@@ -65,7 +65,7 @@
             requests: 0,
             slowness: this.slowness,
         };
-        this.prefillEndsAt = Math.max(from, this.prefillEndsAt) + estimatePrefill(model, work, tokens);
+        this.prefillEndsAt = Math.max(from, this.prefillEndsAt) + estimatePrefillTime(model, work, tokens);
         return this.prefillEndsAt;
     }
 
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -2,11 +2,11 @@
 import type { RandomSource } from "../../src/process/randomSource.ts";
 import { RetryBudget } from "../../src/request/admission/retryBudget.ts";
 import { UsualDeadlines } from "../../src/request/admission/start/usualDeadlines.ts";
-import { CrossingDelays } from "../../src/request/relay/crossingDelays.ts";
 import { EndpointHealth } from "../../src/request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../src/request/relay/endpointLoads.ts";
 import { FirstEventTimes } from "../../src/request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../src/request/relay/limits/endpointLimits.ts";
+import { LinkDelays } from "../../src/request/relay/linkDelays.ts";
 import { PipeLoad } from "../../src/request/relay/pipeLoad.ts";
 import { PipeShares } from "../../src/request/relay/pipeShares.ts";
 import { RequestQuarantine } from "../../src/request/relay/quarantine/requestQuarantine.ts";
@@ -50,7 +50,7 @@
         const health = EndpointHealth.create();
         const quarantine = RequestQuarantine.create({
             log,
-            getAliveTime: endpointId => health.getAliveTime(endpointId),
+            getAliveTime: endpointId => health.getLastAliveTime(endpointId),
         });
         this.environment = {
             dataCentre,
@@ -79,9 +79,9 @@
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines,
-            crossings: CrossingDelays.create(),
+            crossings: LinkDelays.create(),
             pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => loads.getDemandPart(queue.getDemand(), nodeCount)),
+            pipeShares: PipeShares.create(() => loads.getDemandShare(queue.getDemand(), nodeCount)),
             getNodeCount: () => nodeCount,
         };
         this.switchOffMechanisms(loads, deadlines, queue);
@@ -108,7 +108,7 @@
         const own = loads.getOwnLoads().map(load => ({ ...load }));
         peer.environment.loads.setPeerLoads(this.nodeId, own, queue.getDemand(), now);
         for (const suspicion of health.getSuspicions(now)) {
-            peer.environment.health.addSuspicion(suspicion, now);
+            peer.environment.health.applySuspicion(suspicion, now);
         }
         for (const run of quarantine.getRuns(now)) {
             peer.environment.quarantine.takeRun(run);
@@ -117,10 +117,10 @@
 
     private switchOffMechanisms(loads: EndpointLoads, deadlines: UsualDeadlines, queue: RelayQueue): void {
         if (this.without.has(Mechanism.Room)) {
-            loads.getRoom = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
+            loads.getAvailableMemory = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
         }
         if (this.without.has(Mechanism.Full)) {
-            loads.noteFull = (endpointId, now) => this.environment.health.addLoss(endpointId, now);
+            loads.markFull = (endpointId, now) => this.environment.health.markUnavailable(endpointId, now);
         }
         if (this.without.has(Mechanism.Returns)) {
             deadlines.note = () => false;
--- a/src/process/placement/searchColumns.ts
+++ b/src/process/placement/searchColumns.ts
@@ -1,5 +1,5 @@
-import { estimateAnswer } from "../../request/relay/estimateAnswer.ts";
-import { estimatePrefill } from "../../request/relay/estimatePrefill.ts";
+import { estimateAnswerTime } from "../../request/relay/estimateAnswerTime.ts";
+import { estimatePrefillTime } from "../../request/relay/estimatePrefillTime.ts";
 import { getMeanContext } from "../../request/relay/getMeanContext.ts";
 import { getRequestMemory } from "../../request/relay/getRequestMemory.ts";
 import { getTransferTime } from "../../request/relay/getTransferTime.ts";
@@ -164,7 +164,7 @@
         const usableRequests = Math.max(0, requestsInMemory - freeStandardDeviations * Math.sqrt(requestsInMemory));
         inProgress = Math.min(inProgress, effectiveReplicas * Math.min(usableRequests, model.slots));
         const work = createWork(share, 0);
-        const prefill = estimatePrefill(model, work, model.usualPromptTokens);
+        const prefill = estimatePrefillTime(model, work, model.usualPromptTokens);
         rateByTime = Math.min(rateByTime, effectiveReplicas * maximumUtilization / prefill);
     }
     if (inProgress === Infinity) {
@@ -222,7 +222,7 @@
         }
         const replicas = share.count / share.columns;
         const work = createWork(share, inProgress / replicas);
-        duration += share.columns * estimateAnswer(model, work, model.usualPromptTokens, model.usualAnswerTokens);
+        duration += share.columns * estimateAnswerTime(model, work, model.usualPromptTokens, model.usualAnswerTokens);
     }
     return duration;
 }
--- a/src/process/router/peerState.ts
+++ b/src/process/router/peerState.ts
@@ -85,12 +85,12 @@
                 at: now - age,
                 demand,
             }));
-            limits.takeReports(message.sender.nodeId, reports, now);
+            limits.applyReports(message.sender.nodeId, reports, now);
             loads.setPeerLoads(message.sender.nodeId, message.loads, message.demand, now);
         }
         let hasNewSuspicion = false;
         for (const { endpointId, remaining, isRefusing } of message.suspicions) {
-            hasNewSuspicion = health.addSuspicion({ endpointId, remainingMilliseconds: remaining, isRefusing }, now)
+            hasNewSuspicion = health.applySuspicion({ endpointId, remainingMilliseconds: remaining, isRefusing }, now)
                 || hasNewSuspicion;
         }
         if (hasNewSuspicion) {
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -3,11 +3,11 @@
 import { RetryBudget } from "../../request/admission/retryBudget.ts";
 import { UsualDeadlines } from "../../request/admission/start/usualDeadlines.ts";
 import type { AnswerSink } from "../../request/relay/answerSink.ts";
-import { CrossingDelays } from "../../request/relay/crossingDelays.ts";
 import { EndpointHealth } from "../../request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../request/relay/endpointLoads.ts";
 import { FirstEventTimes } from "../../request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../request/relay/limits/endpointLimits.ts";
+import { LinkDelays } from "../../request/relay/linkDelays.ts";
 import { PipeLoad } from "../../request/relay/pipeLoad.ts";
 import { PipeShares } from "../../request/relay/pipeShares.ts";
 import { RequestQuarantine } from "../../request/relay/quarantine/requestQuarantine.ts";
@@ -101,7 +101,7 @@
                 const nodes = [self, ...this.nodes.getLiveNodes(clock.getMonotonicTime())];
                 return chooseLimitSharers({ endpoint, maximumSharers: most, nodeId, nodes, owners: options.owners });
             },
-            onNews: () => {
+            onSignificantChange: () => {
                 queue.wake();
                 this.exchange.propagateUpdate();
             },
@@ -109,7 +109,7 @@
         const readings = EndpointReadings.create();
         const quarantine = RequestQuarantine.create({
             log,
-            getAliveTime: endpointId => this.health.getAliveTime(endpointId),
+            getAliveTime: endpointId => this.health.getLastAliveTime(endpointId),
             onEnded: isHeldBack => {
                 metrics.endpointEndsTotal.inc({ outcome: isHeldBack ? "heldBack" : "suspected" });
                 // The caller may send the request again to any other node a moment later.
@@ -231,9 +231,9 @@
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines: UsualDeadlines.create(),
-            crossings: CrossingDelays.create(),
+            crossings: LinkDelays.create(),
             pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => loads.getDemandPart(queue.getDemand(), this.getNodeCount())),
+            pipeShares: PipeShares.create(() => loads.getDemandShare(queue.getDemand(), this.getNodeCount())),
             getNodeCount: () => this.getNodeCount(),
             repeats: RetryBudget.create(clock.getMonotonicTime(), () => getRetryPolicy(settings, this.getNodeCount())),
         };
--- a/src/request/relay/answerSink.ts
+++ b/src/request/relay/answerSink.ts
@@ -13,5 +13,5 @@
     /** Answers with a refusal. Only allowed before the head is written. */
     refuse(refusal: RelayRefusal): void;
     /** Aborts the answer in a way that the caller can't mistake for its end. */
-    cut(): void;
+    abort(): void;
 }
--- a/src/request/relay/assertTiling.ts
+++ b/src/request/relay/assertValidChain.ts
@@ -7,7 +7,7 @@
  * @param layers - Number of layers of the model.
  * @throws InvariantError if it doesn't.
  */
-export function assertTiling(stages: readonly RelayStage[], layers: number): void {
+export function assertValidChain(stages: readonly RelayStage[], layers: number): void {
     const endpointIds = new Set<string>();
     let nextLayer = 0;
     for (const { endpoint, start, end } of stages) {
--- a/src/request/relay/chooseSoundStages.ts
+++ b/src/request/relay/chooseHealthyStages.ts
@@ -13,7 +13,7 @@
  * @param random - Source of the noise that makes nodes choose differently.
  * @returns The stages; undefined if there is no chain, or if the request should wait for free memory.
  */
-export function chooseSoundStages(
+export function chooseHealthyStages(
     query: StageQuery,
     candidates: readonly StageCandidate[],
     random: RandomSource,
--- a/src/request/relay/chooseStages.ts
+++ b/src/request/relay/chooseStages.ts
@@ -1,5 +1,5 @@
 import type { RandomSource } from "../../process/randomSource.ts";
-import { estimateAnswer } from "./estimateAnswer.ts";
+import { estimateAnswerTime } from "./estimateAnswerTime.ts";
 import { getTransferTime } from "./getTransferTime.ts";
 import type { RelayStage } from "./relayStage.ts";
 import type { StageCandidate } from "./stageCandidate.ts";
@@ -165,7 +165,7 @@
         requests: candidate.requests + 1,
         slowness: candidate.slowness,
     };
-    const time = estimateAnswer(model, work, promptTokens, answerTokens);
+    const time = estimateAnswerTime(model, work, promptTokens, answerTokens);
     const usedFraction = getUsedMemoryFraction(query, candidate, layers);
     if (usedFraction > 1) {
         return time + insufficientMemoryCostMilliseconds * usedFraction;
--- a/src/request/relay/getOwnRoom.ts
+++ b/src/request/relay/computeAvailableMemory.ts
@@ -27,7 +27,7 @@
  * and fill it at once. So memory that this node's own requests release stays reserved for this node. Of other free memory, it
  * uses all but a margin, or only its share if there is little. If too much is reserved, each node gives up its share.
  */
-export function getOwnRoom({ own, ownPeak, others, total, share }: EndpointMemory): number {
+export function computeAvailableMemory({ own, ownPeak, others, total, share }: EndpointMemory): number {
     const free = total * reservableFraction - others - ownPeak;
     const growth = free > 0 ? Math.max(free * share, free - total * growthMarginFraction) : free * share;
     return ownPeak - own + growth;
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -11,7 +11,7 @@
     /** Ids of endpoints that the chain must not use; may grow while the request waits. */
     avoided: ReadonlySet<string>;
     /** Whether the request was sent to an endpoint before, so that starting it needs the retry budget. */
-    isRepeat: boolean;
+    isRetry: boolean;
 }
 
 /**
@@ -31,7 +31,7 @@
 
 /** Creates the queue entry of a request for a chain, which states how long it may wait and how it is started. */
 export function createQueuedRelay(options: QueuedRelayOptions): QueuedRelay {
-    const { environment, task, chains, avoided, isRepeat, start, refuse } = options;
+    const { environment, task, chains, avoided, isRetry: isRepeat, start, refuse } = options;
     const { request, route, customer, rank, isReturn, dueAt } = task;
     const { clock, firstEvents, repeats } = environment;
     const reservedMilliseconds = Math.min(
--- a/src/request/relay/crossing.ts
+++ b/src/request/relay/dataCentreLink.ts
@@ -1,5 +1,5 @@
 /** A link from one data centre to another. */
-export interface Crossing {
+export interface DataCentreLink {
     from: string;
     to: string;
 }
--- a/src/request/relay/forget.ts
+++ b/src/request/relay/decay.ts
@@ -4,6 +4,6 @@
  * @param milliseconds - Elapsed time.
  * @param halfLifeMilliseconds - Time in which the value halves.
  */
-export function forget(value: number, milliseconds: number, halfLifeMilliseconds: number): number {
+export function decay(value: number, milliseconds: number, halfLifeMilliseconds: number): number {
     return value * 2 ** (-milliseconds / halfLifeMilliseconds);
 }
--- a/src/request/relay/documentRelay.ts
+++ b/src/request/relay/documentRelay.ts
@@ -10,7 +10,7 @@
 import { createRefusal } from "./createRefusal.ts";
 import { getSentMilliseconds } from "./getSentMilliseconds.ts";
 import type { LoadReservation } from "./loadReservation.ts";
-import { mostRefusals } from "./mostRefusals.ts";
+import { maximumRefusals } from "./maximumRefusals.ts";
 import { TaskQuarantine } from "./quarantine/taskQuarantine.ts";
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
@@ -103,7 +103,7 @@
         }
         const { environment, task } = this;
         const isAllowed = this.attempts - this.unsentAttempts < task.route.maximumAttempts
-            || !this.mayHaveRun && this.runningAttempts.size === 0 && this.refusals <= mostRefusals;
+            || !this.mayHaveRun && this.runningAttempts.size === 0 && this.refusals <= maximumRefusals;
         const limitedIds = new Set<string>();
         const endpoint = isAllowed ? this.acquireEndpoint(limitedIds) : undefined;
         if (endpoint === undefined) {
@@ -111,7 +111,7 @@
             return;
         }
         if (isRetry && !this.takeRetryFromBudget()) {
-            environment.limits.giveBack(endpoint.id);
+            environment.limits.refund(endpoint.id);
             this.giveUp(cause);
             return;
         }
@@ -176,7 +176,7 @@
         }
         const now = this.getTime();
         const { health } = this.environment;
-        health.noteAlive(attempt.endpoint.id, now);
+        health.markAlive(attempt.endpoint.id, now);
         if (head.isNotRun) {
             this.refusals += 1;
             health.addFailure(attempt.endpoint.id, now);
@@ -203,7 +203,7 @@
         const isNotRun = failure.kind === UpstreamFailureKind.NotSent;
         const { health } = this.environment;
         if (isNotRun) {
-            health.addLoss(attempt.endpoint.id, this.getTime());
+            health.markUnavailable(attempt.endpoint.id, this.getTime());
         }
         else {
             health.addFailure(attempt.endpoint.id, this.getTime());
@@ -256,7 +256,7 @@
         for (const attempt of [...this.runningAttempts]) {
             if (attempt.exchange?.getSentTime() === undefined) {
                 attempt.exchange?.abort();
-                this.environment.health.addLoss(attempt.endpoint.id, this.getTime());
+                this.environment.health.markUnavailable(attempt.endpoint.id, this.getTime());
                 this.endAttempt(attempt, {
                     isNotRun: true,
                     isUnsent: true,
@@ -311,7 +311,7 @@
             this.giveUp(cause);
             return;
         }
-        const retryAfterMilliseconds = this.environment.limits.bookReturn(limitedIds, this.getTime());
+        const retryAfterMilliseconds = this.environment.limits.bookRetry(limitedIds, this.getTime());
         const limitedCause = `${cause} The rate limits of the remaining endpoints are exhausted.`;
         this.giveUp(limitedCause, createRefusal.notRun(limitedCause, retryAfterMilliseconds));
     }
--- a/src/request/relay/endpointHealth.ts
+++ b/src/request/relay/endpointHealth.ts
@@ -1,5 +1,5 @@
 import type { RandomSource } from "../../process/randomSource.ts";
-import { forget } from "./forget.ts";
+import { decay } from "./decay.ts";
 import type { Suspicion } from "./suspicion.ts";
 
 /** State of an endpoint as observed by this node. */
@@ -74,7 +74,7 @@
         if (record === undefined) {
             return 0;
         }
-        return forget(record.failureShare, now - record.updatedAt, halfLifeMilliseconds);
+        return decay(record.failureShare, now - record.updatedAt, halfLifeMilliseconds);
     }
 
     /** Gets the endpoints that are considered unavailable or refuse requests, to report them to peers. */
@@ -101,12 +101,12 @@
     }
 
     /** Records that the endpoint answered, or that an event of a stream came through it. */
-    noteAlive(endpointId: string, now: number): void {
+    markAlive(endpointId: string, now: number): void {
         this.getRecord(endpointId, now).aliveAt = now;
     }
 
     /** Gets the monotonic time in milliseconds at which the endpoint was last seen alive; -Infinity if it never was. */
-    getAliveTime(endpointId: string): number {
+    getLastAliveTime(endpointId: string): number {
         return this.records.get(endpointId)?.aliveAt ?? -Infinity;
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** Records that the endpoint accepts no connection or stalls its chains. */
-    addLoss(endpointId: string, now: number): void {
+    markUnavailable(endpointId: string, now: number): void {
         const record = this.update(endpointId, 1, now);
         const backoff = initialBackoffMilliseconds * 2 ** record.consecutiveFailures;
         record.consecutiveFailures += 1;
@@ -128,7 +128,7 @@
      * while this node receives events from it: it may be unreachable for the peer alone, and all nodes would lose its capacity.
      * @returns Whether other peers should be informed at once.
      */
-    addSuspicion({ endpointId, remainingMilliseconds, isRefusing }: Suspicion, now: number): boolean {
+    applySuspicion({ endpointId, remainingMilliseconds, isRefusing }: Suspicion, now: number): boolean {
         const remaining = Math.min(remainingMilliseconds, maximumBackoffMilliseconds);
         if (isRefusing) {
             return this.markRefusing(endpointId, remaining, now);
--- a/src/request/relay/endpointLoads.ts
+++ b/src/request/relay/endpointLoads.ts
@@ -1,4 +1,4 @@
-import { getOwnRoom } from "./getOwnRoom.ts";
+import { computeAvailableMemory } from "./computeAvailableMemory.ts";
 import type { LoadOfEndpoint } from "./loadOfEndpoint.ts";
 import type { LoadReservation } from "./loadReservation.ts";
 import type { RelayStage } from "./relayStage.ts";
@@ -71,7 +71,7 @@
      * @param ownDemand - Tokens per second of new requests that arrive at this node.
      * @param now - Monotonic time in milliseconds.
      */
-    getRoom(endpointId: string, total: number, ownDemand: number, now: number): number {
+    getAvailableMemory(endpointId: string, total: number, ownDemand: number, now: number): number {
         const load = this.own.get(endpointId);
         const own = load?.tokenLayers ?? 0;
         const others = this.peerSums.get(endpointId)?.tokenLayers ?? 0;
@@ -79,7 +79,7 @@
             return 0;
         }
         const ownPeak = load === undefined ? 0 : getPeak(load, now);
-        return getOwnRoom({ own, ownPeak, others, total, share: this.getKnownDemandShare(ownDemand) });
+        return computeAvailableMemory({ own, ownPeak, others, total, share: this.getKnownDemandShare(ownDemand) });
     }
 
     /**
@@ -88,7 +88,7 @@
      * @param ownDemand - Tokens per second of new requests that arrive at this node.
      * @param nodeCount - Number of live nodes, including this one.
      */
-    getDemandPart(ownDemand: number, nodeCount: number): number {
+    getDemandShare(ownDemand: number, nodeCount: number): number {
         const equalShare = 1 / nodeCount;
         const peerMean = this.peerCount > 0 ? this.peerDemand / this.peerCount : ownDemand;
         const sum = ownDemand + peerMean * (nodeCount - 1);
@@ -96,7 +96,7 @@
     }
 
     /** Records that an endpoint refused a request for lack of memory. It briefly counts as full, whatever its known load. */
-    noteFull(endpointId: string, now: number): void {
+    markFull(endpointId: string, now: number): void {
         const load = this.getOwn(endpointId, now);
         load.peak = load.tokenLayers;
         load.previousPeak = load.tokenLayers;
--- a/src/request/relay/estimateAnswer.ts
+++ b/src/request/relay/estimateAnswerTime.ts
@@ -1,5 +1,5 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
-import { estimatePrefill } from "./estimatePrefill.ts";
+import { estimatePrefillTime } from "./estimatePrefillTime.ts";
 import { getMeanContext } from "./getMeanContext.ts";
 import type { StageWork } from "./stageWork.ts";
 
@@ -7,14 +7,14 @@
 const passesPerStep = 1.5;
 
 /** Estimates the time that a stage adds to a whole answer, in milliseconds. */
-export function estimateAnswer(
+export function estimateAnswerTime(
     model: EngineModel,
     work: StageWork,
     promptTokens: number,
     answerTokens: number,
 ): number {
     const passes = answerTokens / model.stepsOfPass;
-    return passes * passesPerStep * estimatePassTime(model, work) + estimatePrefill(model, work, promptTokens);
+    return passes * passesPerStep * estimatePassTime(model, work) + estimatePrefillTime(model, work, promptTokens);
 }
 
 /**
--- a/src/request/relay/estimatePrefill.ts
+++ b/src/request/relay/estimatePrefillTime.ts
@@ -2,7 +2,7 @@
 import type { StageWork } from "./stageWork.ts";
 
 /** Estimates the prefill time of a prompt at a stage, in milliseconds. */
-export function estimatePrefill(model: EngineModel, work: StageWork, promptTokens: number): number {
+export function estimatePrefillTime(model: EngineModel, work: StageWork, promptTokens: number): number {
     const baseMilliseconds = promptTokens / model.prefillTokensOfMillisecond;
     return baseMilliseconds * work.kind.prefillFactor * work.slowness * work.layers / model.layers;
 }
--- a/src/request/relay/eventSplitter.ts
+++ b/src/request/relay/eventSplitter.ts
@@ -28,7 +28,7 @@
     }
 
     /** Gets if there are bytes of an incomplete event. */
-    hasRest(): boolean {
+    hasIncompleteEvent(): boolean {
         return this.incompleteEvent.length > 0;
     }
 }
--- a/src/request/relay/firstEventTimes.ts
+++ b/src/request/relay/firstEventTimes.ts
@@ -18,7 +18,7 @@
     }
 
     /** Records the time from sending a request to its first event, in milliseconds. */
-    note(milliseconds: number): void {
+    record(milliseconds: number): void {
         this.deviation += newestWeight * (Math.abs(milliseconds - this.mean) - this.deviation);
         this.mean += newestWeight * (milliseconds - this.mean);
     }
--- a/src/request/relay/formatCrossing.ts
+++ b/src/request/relay/formatDataCentreLink.ts
@@ -1,4 +1,4 @@
 /** Formats the link from one data centre to another as a key. */
-export function formatCrossing(from: string, to: string): string {
+export function formatDataCentreLink(from: string, to: string): string {
     return `${from}>${to}`;
 }
--- a/src/request/relay/fullMemoryPart.ts
+++ b/src/request/relay/fullMemoryFraction.ts
@@ -1,2 +1,2 @@
 /** Fraction of used memory below which an endpoint doesn't refuse requests for lack of memory, but for another reason. */
-export const fullMemoryPart = 0.6;
+export const fullMemoryFraction = 0.6;
--- a/src/request/relay/getCrossingBits.ts
+++ b/src/request/relay/getActivationBits.ts
@@ -3,6 +3,6 @@
 const bitsPerByte = 8;
 
 /** Gets the size in bits of the activations that are sent over a link between data centres for a number of tokens. */
-export function getCrossingBits(model: EngineModel, tokens: number): number {
+export function getActivationBits(model: EngineModel, tokens: number): number {
     return tokens * model.activationBytes * bitsPerByte;
 }
--- a/src/request/relay/isRefusalLasting.ts
+++ b/src/request/relay/isRefusalLasting.ts
@@ -1,5 +1,5 @@
 import type { EndpointReport } from "./endpointReport.ts";
-import { fullMemoryPart } from "./fullMemoryPart.ts";
+import { fullMemoryFraction } from "./fullMemoryFraction.ts";
 
 /**
  * Gets if an endpoint that has refused a request will also refuse the next ones, because it is leaving, unloads its layers or
@@ -7,5 +7,5 @@
  * @param report - The endpoint's report; undefined if it doesn't answer.
  */
 export function isRefusalLasting(report: EndpointReport | undefined): boolean {
-    return report === undefined || report.usedTokenLayers < fullMemoryPart * report.totalTokenLayers;
+    return report === undefined || report.usedTokenLayers < fullMemoryFraction * report.totalTokenLayers;
 }
--- a/src/request/relay/limits/endpointLimits.ts
+++ b/src/request/relay/limits/endpointLimits.ts
@@ -21,7 +21,7 @@
      */
     chooseSharers(endpoint: Pick<RegisteredEndpoint, "id" | "dataCentre">, maximumNodes: number): LimitSharers;
     /** Called when peers should be informed at once, because a limit has started, changed considerably or ended. */
-    onNews?(): void;
+    onSignificantChange?(): void;
 }
 
 /** Source of a node's information about a limit. */
@@ -102,7 +102,7 @@
      * @param reports - All reports of the peer.
      * @param now - Monotonic time in milliseconds.
      */
-    takeReports(nodeId: string, reports: readonly LimitReport[], now: number): void {
+    applyReports(nodeId: string, reports: readonly LimitReport[], now: number): void {
         this.peerDemands.expire(now);
         this.peerDemands.apply(nodeId, reports.map(({ endpointId, demand }) => [endpointId, demand] as const), now);
         for (const { endpointId, requestsPerSecond, at } of reports) {
@@ -153,8 +153,8 @@
     }
 
     /** Returns a request that was taken with {@link take} but not sent. */
-    giveBack(endpointId: string): void {
-        this.limits.get(endpointId)?.quota.giveBack();
+    refund(endpointId: string): void {
+        this.limits.get(endpointId)?.quota.refund();
     }
 
     /**
@@ -162,7 +162,7 @@
      * @param endpointIds - The endpoints that were skipped because of their limits.
      * @param now - Monotonic time in milliseconds.
      */
-    bookReturn(endpointIds: Iterable<string>, now: number): number {
+    bookRetry(endpointIds: Iterable<string>, now: number): number {
         let availableRequestsPerSecond = 0;
         for (const id of endpointIds) {
             const known = this.limits.get(id);
@@ -188,7 +188,7 @@
     }
 
     private updateLimit({ endpointId, requestsPerSecond, at }: EndpointLimit, source: LimitSource, now: number): void {
-        const { log, random, onNews } = this.options;
+        const { log, random, onSignificantChange: onNews } = this.options;
         const known = this.limits.get(endpointId);
         const previous = known?.requestsPerSecond;
         const { quota, demand, endpoint } = known ?? {
--- a/src/request/relay/limits/limitQuota.ts
+++ b/src/request/relay/limits/limitQuota.ts
@@ -40,7 +40,7 @@
     }
 
     /** Returns a request that was taken but not sent. */
-    giveBack(): void {
+    refund(): void {
         this.requests += 1;
     }
 }
--- a/src/request/relay/crossingDelays.ts
+++ b/src/request/relay/linkDelays.ts
@@ -1,6 +1,6 @@
-import { forget } from "./forget.ts";
-import { formatCrossing } from "./formatCrossing.ts";
-import { listCrossings } from "./listCrossings.ts";
+import { decay } from "./decay.ts";
+import { formatDataCentreLink } from "./formatDataCentreLink.ts";
+import { listDataCentreLinks } from "./listDataCentreLinks.ts";
 
 /** Measured delay of the link from one data centre to another. */
 interface LinkRecord {
@@ -18,7 +18,7 @@
  * Tracks how much later first events come over each link between data centres than within one. This detects slow links
  * whatever the cause, also where neither the engines' figures nor the utilization of the links show it.
  */
-export class CrossingDelays {
+export class LinkDelays {
     private readonly records = new Map<string, LinkRecord>();
     /** Moving average of the time to the first event within a data centre, in milliseconds. */
     private millisecondsWithinDataCentre: number | undefined;
@@ -26,8 +26,8 @@
     private constructor() {}
 
     /** Creates an instance in which no link adds a delay. */
-    static create(): CrossingDelays {
-        return new CrossingDelays();
+    static create(): LinkDelays {
+        return new LinkDelays();
     }
 
     /**
@@ -36,8 +36,8 @@
      * @param milliseconds - Time since the request was sent.
      * @param now - Monotonic time in milliseconds.
      */
-    note(dataCentres: readonly string[], milliseconds: number, now: number): void {
-        const links = listCrossings(dataCentres).map(({ from, to }) => formatCrossing(from, to));
+    recordFirstEvent(dataCentres: readonly string[], milliseconds: number, now: number): void {
+        const links = listDataCentreLinks(dataCentres).map(({ from, to }) => formatDataCentreLink(from, to));
         if (links.length === 0) {
             const average = this.millisecondsWithinDataCentre ?? milliseconds;
             this.millisecondsWithinDataCentre = average + newestWeight * (milliseconds - average);
@@ -51,8 +51,8 @@
     }
 
     /** Gets the time that a link adds to a first event, in milliseconds. */
-    getExtra(from: string, to: string, now: number): number {
-        return this.getDelayOfLink(formatCrossing(from, to), now);
+    getDelay(from: string, to: string, now: number): number {
+        return this.getDelayOfLink(formatDataCentreLink(from, to), now);
     }
 
     private getDelayOfLink(link: string, now: number): number {
@@ -60,6 +60,6 @@
         if (record === undefined) {
             return 0;
         }
-        return forget(record.delayMilliseconds, now - record.updatedAt, halfLifeMilliseconds);
+        return decay(record.delayMilliseconds, now - record.updatedAt, halfLifeMilliseconds);
     }
 }
--- a/src/request/relay/mostRefusals.ts
+++ b/src/request/relay/maximumRefusals.ts
@@ -1,2 +1,2 @@
 /** Maximum number of refusals by endpoints that are each followed by another attempt. Refusals cost the caller nothing. */
-export const mostRefusals = 4;
+export const maximumRefusals = 4;
--- a/src/request/relay/noteRefusal.ts
+++ b/src/request/relay/noteRefusal.ts
@@ -1,5 +1,5 @@
 import { events } from "../../process/logging/events.ts";
-import { fullMemoryPart } from "./fullMemoryPart.ts";
+import { fullMemoryFraction } from "./fullMemoryFraction.ts";
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
 
@@ -27,13 +27,13 @@
 export function noteRefusal({ environment, requestId, endpoint, status, memoryPart }: EndpointRefusal): string[] {
     const { clock, loads, health, log, refusals } = environment;
     const now = clock.getMonotonicTime();
-    if (status !== misdirectedStatus && memoryPart >= fullMemoryPart) {
-        loads.noteFull(endpoint.id, now);
+    if (status !== misdirectedStatus && memoryPart >= fullMemoryFraction) {
+        loads.markFull(endpoint.id, now);
         log.write(events.endpointFull, { request: requestId, endpoint: endpoint.id, memoryPart });
         return [];
     }
     // The endpoint is leaving, down, or unloads its layers, which its record may not show for seconds.
-    health.addLoss(endpoint.id, now);
+    health.markUnavailable(endpoint.id, now);
     void refusals.note(endpoint);
     return [endpoint.id];
 }
--- a/src/request/relay/pipeShares.ts
+++ b/src/request/relay/pipeShares.ts
@@ -1,6 +1,6 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
-import { formatCrossing } from "./formatCrossing.ts";
-import { getCrossingBits } from "./getCrossingBits.ts";
+import { formatDataCentreLink } from "./formatDataCentreLink.ts";
+import { getActivationBits } from "./getActivationBits.ts";
 
 /** Bits per millisecond at a bandwidth of one megabit per second. */
 const bitsPerMillisecond = 1_000;
@@ -49,7 +49,7 @@
      * request ahead of its share, since requests arrive at a single node in bursts that even out over all nodes.
      */
     getWait(from: string, to: string, now: number): number {
-        const use = this.uses.get(formatCrossing(from, to));
+        const use = this.uses.get(formatDataCentreLink(from, to));
         return use === undefined ? 0 : Math.max(0, use.freeAt - use.lastMilliseconds - now);
     }
 
@@ -63,9 +63,9 @@
      */
     take(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
         const rate = model.pipeMegabits * bitsPerMillisecond * usableFraction * this.getShare();
-        const key = formatCrossing(from, to);
+        const key = formatDataCentreLink(from, to);
         const start = Math.max(now, this.uses.get(key)?.freeAt ?? now);
-        const lastMilliseconds = getCrossingBits(model, tokens) / rate;
+        const lastMilliseconds = getActivationBits(model, tokens) / rate;
         this.uses.set(key, { freeAt: start + lastMilliseconds, lastMilliseconds });
     }
 }
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -1,10 +1,10 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
-import { assertTiling } from "./assertTiling.ts";
-import { chooseSoundStages } from "./chooseSoundStages.ts";
-import { getCrossingBits } from "./getCrossingBits.ts";
+import { assertValidChain } from "./assertValidChain.ts";
+import { chooseHealthyStages } from "./chooseHealthyStages.ts";
+import { getActivationBits } from "./getActivationBits.ts";
 import { getRequestMemory } from "./getRequestMemory.ts";
 import { listCandidates } from "./listCandidates.ts";
-import { listCrossings } from "./listCrossings.ts";
+import { listDataCentreLinks } from "./listDataCentreLinks.ts";
 import { listDataCentres } from "./listDataCentres.ts";
 import type { LoadReservation } from "./loadReservation.ts";
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
@@ -70,12 +70,12 @@
             mayOverfill,
             sparePart,
             isConnected: address => environment.pools.getPool(address).hasIdle(),
-            getCrossingDelay: (from, to) => environment.crossings.getExtra(from, to, now),
+            getCrossingDelay: (from, to) => environment.crossings.getDelay(from, to, now),
             getPipeWait: (from, to) => environment.pipeShares.getWait(from, to, now),
         };
         const candidates = listCandidates(environment, model, task.service.name)
             .filter(({ endpoint: { id } }) => !avoid.has(id) && closed?.has(id) !== true);
-        return chooseSoundStages(query, candidates, environment.random);
+        return chooseHealthyStages(query, candidates, environment.random);
     }
 
     /**
@@ -102,7 +102,7 @@
 
     /** Returns to the rate limit what {@link chooseOpen} took, if nothing is sent. */
     giveBack(stages: readonly RelayStage[]): void {
-        this.environment.limits.giveBack(stages[0]!.endpoint.id);
+        this.environment.limits.refund(stages[0]!.endpoint.id);
     }
 
     /**
@@ -112,7 +112,7 @@
     getLimitReturn({ avoid, closed }: Pick<LimitedChainRequirements, "avoid" | "closed">): number | undefined {
         const isRateLimited = closed.size > 0 && this.choose({ avoid, closed, mayOverfill: true }) === undefined;
         const { limits, clock } = this.environment;
-        return isRateLimited ? limits.bookReturn(closed, clock.getMonotonicTime()) : undefined;
+        return isRateLimited ? limits.bookRetry(closed, clock.getMonotonicTime()) : undefined;
     }
 
     /** Excludes all rate-limited endpoints. */
@@ -130,12 +130,12 @@
      * @throws InvariantError if the chain doesn't run each layer exactly once and in order.
      */
     reserve(stages: readonly RelayStage[]): LoadReservation {
-        assertTiling(stages, this.model.layers);
+        assertValidChain(stages, this.model.layers);
         const { loads, pipeLoad, pipeShares, clock, queue } = this.environment;
         const tokens = this.getTokens();
         const now = clock.getMonotonicTime();
-        const crossings = listCrossings(listDataCentres(stages));
-        pipeLoad.add(crossings.length * getCrossingBits(this.model, tokens), now);
+        const crossings = listDataCentreLinks(listDataCentres(stages));
+        pipeLoad.add(crossings.length * getActivationBits(this.model, tokens), now);
         for (const { from, to } of crossings) {
             pipeShares.take(from, to, this.model, tokens, now);
         }
--- a/src/request/relay/relayEnvironment.ts
+++ b/src/request/relay/relayEnvironment.ts
@@ -3,12 +3,12 @@
 import type { RandomSource } from "../../process/randomSource.ts";
 import type { RetryBudget } from "../admission/retryBudget.ts";
 import type { UsualDeadlines } from "../admission/start/usualDeadlines.ts";
-import type { CrossingDelays } from "./crossingDelays.ts";
 import type { EndpointHealth } from "./endpointHealth.ts";
 import type { EndpointLoads } from "./endpointLoads.ts";
 import type { EndpointProtocol } from "./endpointProtocol.ts";
 import type { FirstEventTimes } from "./firstEventTimes.ts";
 import type { EndpointLimits } from "./limits/endpointLimits.ts";
+import type { LinkDelays } from "./linkDelays.ts";
 import type { PipeLoad } from "./pipeLoad.ts";
 import type { PipeShares } from "./pipeShares.ts";
 import type { RequestQuarantine } from "./quarantine/requestQuarantine.ts";
@@ -37,7 +37,7 @@
     queue: RelayQueue;
     firstEvents: FirstEventTimes;
     deadlines: UsualDeadlines;
-    crossings: CrossingDelays;
+    crossings: LinkDelays;
     /** Traffic between data centres caused by this node's requests. */
     pipeLoad: PipeLoad;
     pipeShares: PipeShares;
--- a/src/request/relay/runAllowance.ts
+++ b/src/request/relay/runAllowance.ts
@@ -1,4 +1,4 @@
-import { mostRefusals } from "./mostRefusals.ts";
+import { maximumRefusals } from "./maximumRefusals.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
 import type { RelayTask } from "./relayTask.ts";
 
@@ -46,7 +46,7 @@
 
     /** Gets if the request may be sent to another first stage. */
     mayRunAgain(): boolean {
-        if (this.attemptCount >= hardAttemptLimit || this.refusalCount > mostRefusals) {
+        if (this.attemptCount >= hardAttemptLimit || this.refusalCount > maximumRefusals) {
             return false;
         }
         const { directory, health, clock } = this.environment;
--- a/src/request/relay/stallWatch.ts
+++ b/src/request/relay/stallWatch.ts
@@ -113,7 +113,7 @@
             at: [...new Set(report?.stalled.map(({ address }) => address))].join(","),
         });
         if (report === undefined) {
-            environment.health.addLoss(first.id, now);
+            environment.health.markUnavailable(first.id, now);
             for (const relay of relays) {
                 this.abandon(relay, first.id, "the first stage does not answer.");
             }
@@ -141,7 +141,7 @@
         const { crossings } = this.options.environment;
         const dataCentres = relay.getDataCentres();
         if (!relay.hasEvents()) {
-            crossings.note(dataCentres, now - (relay.getSentAt() ?? now), now);
+            crossings.recordFirstEvent(dataCentres, now - (relay.getSentAt() ?? now), now);
         }
         const isOverdue = now - (relay.getLastProgress() ?? now) > abandonMilliseconds;
         if (isOverdue && this.hasProgressingStream(dataCentres.join(), now)) {
@@ -166,7 +166,7 @@
             const endpoint = environment.directory.getEndpointAt(address);
             if (endpoint !== undefined && !lost.has(endpoint.id)) {
                 lost.add(endpoint.id);
-                environment.health.addLoss(endpoint.id, now);
+                environment.health.markUnavailable(endpoint.id, now);
             }
         }
         return lost;
--- a/src/request/relay/streamAnswerReader.ts
+++ b/src/request/relay/streamAnswerReader.ts
@@ -76,7 +76,7 @@
             return { kind: "refused", head };
         }
         if (isSuccess(head)) {
-            return this.splitter.hasRest() ? { kind: "cut" } : { kind: "whole", head };
+            return this.splitter.hasIncompleteEvent() ? { kind: "cut" } : { kind: "whole", head };
         }
         // A success without a signature is not the endpoint's own answer and must not be forwarded to the caller.
         const answer = hasSuccessStatus(head) ? undefined : { head, body: Buffer.concat(this.chunks) };
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -193,7 +193,7 @@
             task,
             chains,
             avoided,
-            isRepeat,
+            isRetry: isRepeat,
             start: place => {
                 this.queuedRelay = undefined;
                 this.startReserved(place, cause);
@@ -305,15 +305,15 @@
         this.mayHaveRun = true;
         attempt.lastProgressAt = now;
         for (const { endpoint } of attempt.stages) {
-            this.environment.health.noteAlive(endpoint.id, now);
+            this.environment.health.markAlive(endpoint.id, now);
         }
         if (now - (attempt.firstEventAt ?? now) >= safeAfterMilliseconds) {
             this.quarantine.noteOutlived();
         }
         if (attempt.firstEventAt === undefined) {
             attempt.firstEventAt = now;
-            this.environment.crossings.note(listDataCentres(attempt.stages), now - attempt.sentAt, now);
-            this.environment.firstEvents.note(now - attempt.sentAt);
+            this.environment.crossings.recordFirstEvent(listDataCentres(attempt.stages), now - attempt.sentAt, now);
+            this.environment.firstEvents.record(now - attempt.sentAt);
             for (const { endpoint } of attempt.stages) {
                 this.environment.health.addSuccess(endpoint.id, now);
             }
@@ -391,7 +391,7 @@
         const isNotRun = failure.kind === UpstreamFailureKind.NotSent;
         const cause = `the connection to the first stage failed (${failure.message}).`;
         if (isNotRun) {
-            this.environment.health.addLoss(id, this.getTime());
+            this.environment.health.markUnavailable(id, this.getTime());
         }
         this.endAttempt(attempt, { isNotRun, isUnsent: isNotRun, isBroken: !isNotRun, cause, avoid: [id] });
     }
@@ -449,7 +449,7 @@
     private giveUp(cause: string, notRun: RelayRefusal = createRefusal.notRun(cause)): void {
         const { failureAnswer } = this;
         if (this.isHeadWritten) {
-            this.task.sink.cut();
+            this.task.sink.abort();
             this.finish("cut", cause);
             return;
         }
@@ -463,7 +463,7 @@
 
     private handleTimeout(): void {
         if (this.isHeadWritten) {
-            this.task.sink.cut();
+            this.task.sink.abort();
             this.finish("cutAtTimeout");
             return;
         }
--- a/tests/platform/createAnswerSink.test.ts
+++ b/tests/platform/createAnswerSink.test.ts
@@ -79,7 +79,7 @@
         const received = await exchange(["/only"], ([sink]) => {
             sink!.writeHead(createHead());
             sink!.write(Buffer.from("ab"));
-            sink!.cut();
+            sink!.abort();
         }).catch(() => "");
         assert.ok(!received.includes("\r\n0\r\n\r\n"), received);
     });
--- a/tests/request/relay/chooseSoundStages.test.ts
+++ b/tests/request/relay/chooseHealthyStages.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { chooseSoundStages } from "../../../src/request/relay/chooseSoundStages.ts";
+import { chooseHealthyStages } from "../../../src/request/relay/chooseHealthyStages.ts";
 import type { StageCandidate } from "../../../src/request/relay/stageCandidate.ts";
 import type { StageQuery } from "../../../src/request/relay/stageQuery.ts";
 import { createCandidate, stageQuery } from "./relayModel.ts";
@@ -9,7 +9,7 @@
 const lost = createCandidate("lost", 0, 40, { isSuspect: true });
 
 function choose(candidates: StageCandidate[], changes: Partial<StageQuery> = {}): string[] | undefined {
-    return chooseSoundStages({ ...stageQuery, ...changes }, candidates, () => 0)?.map(({ endpoint }) => endpoint.id);
+    return chooseHealthyStages({ ...stageQuery, ...changes }, candidates, () => 0)?.map(({ endpoint }) => endpoint.id);
 }
 
 describe("chooseSoundStages", () => {
--- a/tests/request/relay/chooseStages.test.ts
+++ b/tests/request/relay/chooseStages.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { assertTiling } from "../../../src/request/relay/assertTiling.ts";
+import { assertValidChain } from "../../../src/request/relay/assertValidChain.ts";
 import { chooseStages } from "../../../src/request/relay/chooseStages.ts";
 import type { StageCandidate } from "../../../src/request/relay/stageCandidate.ts";
 import type { StageQuery } from "../../../src/request/relay/stageQuery.ts";
@@ -17,7 +17,7 @@
     it("covers all layers when several endpoints hold the same ranges", () => {
         const candidates = [createCandidate("1", 0, 30), createCandidate("2", 30, 80), createCandidate("3", 30, 80)];
         const stages = chooseStages(query, candidates, () => 0);
-        assertTiling(stages!, relayModel.layers);
+        assertValidChain(stages!, relayModel.layers);
     });
 
     it("finds no chain if layers are missing", () => {
@@ -26,7 +26,7 @@
 
     it("runs a part of the held layers if the ranges of endpoints overlap", () => {
         const stages = chooseStages(query, [createCandidate("1", 0, 50), createCandidate("2", 30, 80)], () => 0);
-        assertTiling(stages!, relayModel.layers);
+        assertValidChain(stages!, relayModel.layers);
     });
 
     it("prefers replicas that have fewer requests, have free memory, or aren't slow", () => {
@@ -119,7 +119,7 @@
                         .map(([start, end], index) => createCandidate(String(index), start, end));
                     const stages = chooseStages(query, candidates, () => randoms.next().value!);
                     if (stages !== undefined) {
-                        assertTiling(stages, relayModel.layers);
+                        assertValidChain(stages, relayModel.layers);
                     }
                 },
             ),
--- a/tests/request/relay/getOwnRoom.test.ts
+++ b/tests/request/relay/computeAvailableMemory.test.ts
@@ -1,24 +1,24 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { getOwnRoom } from "../../../src/request/relay/getOwnRoom.ts";
+import { computeAvailableMemory } from "../../../src/request/relay/computeAvailableMemory.ts";
 
 const memory = { own: 0, ownPeak: 0, others: 0, total: 1_000, share: 0.1 };
 
 describe("getOwnRoom", () => {
     it("returns all but a margin of an empty endpoint's memory", () => {
-        const room = getOwnRoom(memory);
+        const room = computeAvailableMemory(memory);
         assert.ok(room > 900 && room <= 1_000);
     });
 
     it("returns only the memory that the node's own requests have released if the endpoint is full", () => {
         const full = { ...memory, ownPeak: 200, others: 850 };
-        assert.equal(getOwnRoom({ ...full, own: 200 }), 0);
-        assert.equal(getOwnRoom({ ...full, own: 150 }), 50);
+        assert.equal(computeAvailableMemory({ ...full, own: 200 }), 0);
+        assert.equal(computeAvailableMemory({ ...full, own: 150 }), 50);
     });
 
     it("is negative by the node's share of the excess if too much memory is reserved", () => {
-        const room = getOwnRoom({ ...memory, own: 200, ownPeak: 200, others: 1_050 });
+        const room = computeAvailableMemory({ ...memory, own: 200, ownPeak: 200, others: 1_050 });
         assert.ok(Math.abs(room + 20) < 1e-9);
     });
 
@@ -31,7 +31,13 @@
             for (const nodePart of parts) {
                 const own = nodePart * scale;
                 const others = 1_000 * part - own;
-                const room = getOwnRoom({ own, ownPeak: own, others, total: 1_000, share: 1 / parts.length });
+                const room = computeAvailableMemory({
+                    own,
+                    ownPeak: own,
+                    others,
+                    total: 1_000,
+                    share: 1 / parts.length,
+                });
                 filled += own + room;
             }
             assert.ok(filled <= 1_050 + 1e-6);
--- a/tests/request/relay/endpointHealth.test.ts
+++ b/tests/request/relay/endpointHealth.test.ts
@@ -5,10 +5,10 @@
 describe("EndpointHealth", () => {
     it("increases the backoff with each consecutive failure of an endpoint, until it answers", () => {
         const health = EndpointHealth.create();
-        health.addLoss("e", 0);
+        health.markUnavailable("e", 0);
         assert.ok(health.isSuspect("e", 399));
         assert.ok(!health.isSuspect("e", 401));
-        health.addLoss("e", 401);
+        health.markUnavailable("e", 401);
         assert.ok(health.isSuspect("e", 1_200));
         health.addSuccess("e", 1_200);
         assert.ok(!health.isSuspect("e", 1_200));
@@ -23,7 +23,7 @@
 
     it("applies a peer's suspicion for its remaining time", () => {
         const health = EndpointHealth.create();
-        health.addSuspicion({ endpointId: "e", remainingMilliseconds: 500, isRefusing: false }, 100);
+        health.applySuspicion({ endpointId: "e", remainingMilliseconds: 500, isRefusing: false }, 100);
         assert.ok(health.isSuspect("e", 599));
         assert.ok(!health.isSuspect("e", 601));
         assert.deepEqual(health.getSuspicions(200), [{
@@ -35,19 +35,19 @@
 
     it("ignores a peer's suspicion while this node receives events from the endpoint", () => {
         const health = EndpointHealth.create();
-        health.noteAlive("e", 0);
-        health.addSuspicion({ endpointId: "e", remainingMilliseconds: 1_000, isRefusing: false }, 200);
+        health.markAlive("e", 0);
+        health.applySuspicion({ endpointId: "e", remainingMilliseconds: 1_000, isRefusing: false }, 200);
         assert.ok(!health.isSuspect("e", 200));
-        health.addSuspicion({ endpointId: "e", remainingMilliseconds: 1_000, isRefusing: false }, 400);
+        health.applySuspicion({ endpointId: "e", remainingMilliseconds: 1_000, isRefusing: false }, 400);
         assert.ok(health.isSuspect("e", 400));
     });
 
     it("applies a peer's report that an endpoint refuses new requests, also while this node receives events from it", () => {
         const health = EndpointHealth.create();
-        health.noteAlive("e", 0);
+        health.markAlive("e", 0);
         const suspicion = { endpointId: "e", remainingMilliseconds: 1_000, isRefusing: true };
-        assert.ok(health.addSuspicion(suspicion, 0));
-        assert.ok(!health.addSuspicion(suspicion, 10));
+        assert.ok(health.applySuspicion(suspicion, 0));
+        assert.ok(!health.applySuspicion(suspicion, 10));
         assert.ok(health.isSuspect("e", 900));
         assert.deepEqual(health.getSuspicions(10), [{
             endpointId: "e",
--- a/tests/request/relay/endpointLoads.test.ts
+++ b/tests/request/relay/endpointLoads.test.ts
@@ -33,17 +33,17 @@
         const loads = EndpointLoads.create();
         const reservation = loads.reserveStages(stages, 100, 0);
         loads.setPeerLoads("p", [{ endpointId: "1", requests: 9, tokenLayers: 9_500 }], 100, 0);
-        assert.ok(loads.getRoom("1", 10_000, 100, 10) <= 0);
+        assert.ok(loads.getAvailableMemory("1", 10_000, 100, 10) <= 0);
         reservation.release();
-        assert.equal(loads.getRoom("1", 10_000, 100, 20), 1_000);
-        assert.ok(loads.getRoom("1", 10_000, 100, 5_000) < 1_000);
+        assert.equal(loads.getAvailableMemory("1", 10_000, 100, 20), 1_000);
+        assert.ok(loads.getAvailableMemory("1", 10_000, 100, 5_000) < 1_000);
     });
 
     it("has no available memory at an endpoint that has just refused a request for lack of it", () => {
         const loads = EndpointLoads.create();
-        loads.noteFull("1", 0);
-        assert.equal(loads.getRoom("1", 10_000, 100, 100), 0);
-        assert.ok(loads.getRoom("1", 10_000, 100, 1_000) > 0);
+        loads.markFull("1", 0);
+        assert.equal(loads.getAvailableMemory("1", 10_000, 100, 100), 0);
+        assert.ok(loads.getAvailableMemory("1", 10_000, 100, 1_000) > 0);
     });
 
     it("calls back when memory may have become available", () => {
@@ -56,11 +56,11 @@
 
     it("gets the share of the demand, and counts nodes without a report with the average demand", () => {
         const loads = EndpointLoads.create();
-        assert.equal(loads.getDemandPart(0, 4), 1 / 4);
-        assert.equal(loads.getDemandPart(100, 4), 1 / 4);
+        assert.equal(loads.getDemandShare(0, 4), 1 / 4);
+        assert.equal(loads.getDemandShare(100, 4), 1 / 4);
         loads.setPeerLoads("one", [], 50, 0);
-        assert.equal(loads.getDemandPart(100, 3), 100 / (100 + 2 * 50));
+        assert.equal(loads.getDemandShare(100, 3), 100 / (100 + 2 * 50));
         // A node without requests keeps a minimum share for requests that may come next.
-        assert.equal(loads.getDemandPart(0, 4), 1 / 16);
+        assert.equal(loads.getDemandShare(0, 4), 1 / 16);
     });
 });
--- a/tests/request/relay/eventSplitter.test.ts
+++ b/tests/request/relay/eventSplitter.test.ts
@@ -10,7 +10,7 @@
         const splitter = EventSplitter.create();
         const events = splitter.push(Buffer.from(text));
         assert.deepEqual(events.map(({ id }) => id), [1, undefined, 22, 3]);
-        assert.ok(splitter.hasRest());
+        assert.ok(splitter.hasIncompleteEvent());
     });
 
     it("returns the same events with the same bytes, however the stream is split into chunks", () => {
--- a/tests/request/relay/limits/endpointLimits.test.ts
+++ b/tests/request/relay/limits/endpointLimits.test.ts
@@ -20,7 +20,7 @@
             log: { write: (_event, fields) => lines.push(fields) },
             random: () => 0.5,
             chooseSharers: () => sharers,
-            onNews: () => news++,
+            onSignificantChange: () => news++,
         });
         return { lines, limits, countNews: () => news };
     }
@@ -70,14 +70,14 @@
             return taken;
         };
         assert.ok(takeAll() > 0);
-        limits.giveBack("x");
+        limits.refund("x");
         assert.equal(takeAll(), 1);
     });
 
     it("applies a peer's report if it is newer, also about the end of a limit", () => {
         const { limits } = create();
         const tell = (requestsPerSecond: number | undefined, at: number, now: number) =>
-            limits.takeReports("peer", [{ endpointId: "x", requestsPerSecond, at, demand: 1 }], now);
+            limits.applyReports("peer", [{ endpointId: "x", requestsPerSecond, at, demand: 1 }], now);
         tell(2, 1_000, 1_000);
         assert.ok(limits.isLimited("x"));
         limits.noteAnswer("x", undefined, 2_000);
@@ -95,7 +95,7 @@
         const { limits } = create();
         limits.noteAnswer("x", 2, 0);
         limits.take(endpoint, 0);
-        const returns = Array.from({ length: 4 }, () => limits.bookReturn(["x"], 0));
+        const returns = Array.from({ length: 4 }, () => limits.bookRetry(["x"], 0));
         assert.ok(returns[0]! < 1_000, String(returns));
         assert.ok(returns[3]! > 1_500 && returns[3]! < 4_000, String(returns));
     });
--- a/tests/request/relay/limits/limitBench.ts
+++ b/tests/request/relay/limits/limitBench.ts
@@ -131,7 +131,7 @@
         this.clock.setTimer(networkDelayMilliseconds, () => {
             const now = this.clock.getMonotonicTime();
             const received = reports.map(report => ({ ...report, at: report.at + now - sentAt }));
-            this.nodes[to]!.takeReports(`node-${from}`, received, now);
+            this.nodes[to]!.applyReports(`node-${from}`, received, now);
         });
     }
 }
--- a/tests/request/relay/noteRefusal.test.ts
+++ b/tests/request/relay/noteRefusal.test.ts
@@ -11,7 +11,7 @@
     return {
         avoided,
         isSuspect: environment.health.isSuspect("1", 0),
-        room: environment.loads.getRoom("1", 100, 0, 0),
+        room: environment.loads.getAvailableMemory("1", 100, 0, 0),
     };
 }
 
--- a/tests/request/relay/quarantine/taskQuarantine.test.ts
+++ b/tests/request/relay/quarantine/taskQuarantine.test.ts
@@ -78,7 +78,7 @@
     it("is not sent if other endpoints crashed while it waited for room", async () => {
         const bench = createBench();
         for (const id of ["1", "2", "3", "4"]) {
-            bench.environment.loads.noteFull(id, 0);
+            bench.environment.loads.markFull(id, 0);
         }
         startStream(bench);
         for (const endpointId of ["5", "6"]) {
--- a/tests/request/relay/refusalWatch.test.ts
+++ b/tests/request/relay/refusalWatch.test.ts
@@ -96,13 +96,13 @@
         const chosen = choose(sound);
         if (chosen < 16) {
             refused += 1;
-            health.addLoss(`e${chosen}`, now);
+            health.markUnavailable(`e${chosen}`, now);
             void watch.note(createEndpoint(`e${chosen}`));
         }
         for (const { node } of nodes) {
             // Running streams continue. Each node sends its suspicions to another node every 450 ms, or within 100 ms if it has news.
             for (let index = 0; index < 16; index += 1) {
-                node.health.noteAlive(`e${index}`, now);
+                node.health.markAlive(`e${index}`, now);
             }
             if (now % 450 !== 0 && !(node.hasNews && now % 100 === 0)) {
                 continue;
@@ -110,7 +110,7 @@
             node.hasNews = false;
             const peer = choose(nodes).node;
             for (const suspicion of node.health.getSuspicions(now)) {
-                peer.hasNews = peer.health.addSuspicion(suspicion, now) || peer.hasNews;
+                peer.hasNews = peer.health.applySuspicion(suspicion, now) || peer.hasNews;
             }
         }
         await clock.advance(5);
--- a/tests/request/relay/relayBench.ts
+++ b/tests/request/relay/relayBench.ts
@@ -3,11 +3,11 @@
 import { RetryBudget } from "../../../src/request/admission/retryBudget.ts";
 import { UsualDeadlines } from "../../../src/request/admission/start/usualDeadlines.ts";
 import type { AnswerSink } from "../../../src/request/relay/answerSink.ts";
-import { CrossingDelays } from "../../../src/request/relay/crossingDelays.ts";
 import { EndpointHealth } from "../../../src/request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../../src/request/relay/endpointLoads.ts";
 import { FirstEventTimes } from "../../../src/request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../../src/request/relay/limits/endpointLimits.ts";
+import { LinkDelays } from "../../../src/request/relay/linkDelays.ts";
 import { PipeLoad } from "../../../src/request/relay/pipeLoad.ts";
 import { PipeShares } from "../../../src/request/relay/pipeShares.ts";
 import { RequestQuarantine } from "../../../src/request/relay/quarantine/requestQuarantine.ts";
@@ -69,12 +69,15 @@
                 random,
                 chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
             }),
-            quarantine: RequestQuarantine.create({ log, getAliveTime: endpointId => health.getAliveTime(endpointId) }),
+            quarantine: RequestQuarantine.create({
+                log,
+                getAliveTime: endpointId => health.getLastAliveTime(endpointId),
+            }),
             repeats: RetryBudget.create(0),
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines: UsualDeadlines.create(),
-            crossings: CrossingDelays.create(),
+            crossings: LinkDelays.create(),
             pipeLoad: PipeLoad.create(),
             pipeShares: PipeShares.create(() => 1),
             getNodeCount: () => 1,
@@ -94,7 +97,7 @@
             write: () => undefined,
             end: () => undefined,
             refuse: ({ reason }) => this.answers.push(reason),
-            cut: () => this.answers.push("cut"),
+            abort: () => this.answers.push("cut"),
         };
         return {
             request: {
