--- a/bench/experiment/experiment.ts
+++ b/bench/experiment/experiment.ts
@@ -160,7 +160,7 @@
             isReturn,
             dueAt: now + deadlineMilliseconds,
         };
-        environment.repeats.observeRequest();
+        environment.retryBudget.observeRequest();
         StreamRelay.create(environment, task, experimentModel, () => undefined).start();
     }
 
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -7,8 +7,8 @@
 import { FirstEventTimes } from "../../src/request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../src/request/relay/limits/endpointLimits.ts";
 import { LinkDelays } from "../../src/request/relay/linkDelays.ts";
-import { PipeLoad } from "../../src/request/relay/pipeLoad.ts";
-import { PipeShares } from "../../src/request/relay/pipeShares.ts";
+import { LinkPacer } from "../../src/request/relay/linkPacer.ts";
+import { LinkTraffic } from "../../src/request/relay/linkTraffic.ts";
 import { RequestQuarantine } from "../../src/request/relay/quarantine/requestQuarantine.ts";
 import type { RelayDirectory } from "../../src/request/relay/relayDirectory.ts";
 import type { RelayEnvironment } from "../../src/request/relay/relayEnvironment.ts";
@@ -75,13 +75,13 @@
                 chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
             }),
             quarantine,
-            repeats: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
+            retryBudget: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines,
-            crossings: LinkDelays.create(),
-            pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => loads.getDemandShare(queue.getDemand(), nodeCount)),
+            crossingDelays: LinkDelays.create(),
+            linkTraffic: LinkTraffic.create(),
+            linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), nodeCount)),
             getNodeCount: () => nodeCount,
         };
         this.switchOffMechanisms(loads, deadlines, queue);
@@ -94,7 +94,7 @@
 
     /** Gets if the node gossips with more peers per round. */
     isBusy(): boolean {
-        return !this.without.has(Mechanism.News) && this.environment.queue.isBusy();
+        return !this.without.has(Mechanism.News) && this.environment.queue.isContended();
     }
 
     /** Exchanges state with a peer, in both directions. */
@@ -110,8 +110,8 @@
         for (const suspicion of health.getSuspicions(now)) {
             peer.environment.health.applySuspicion(suspicion, now);
         }
-        for (const run of quarantine.getRuns(now)) {
-            peer.environment.quarantine.takeRun(run);
+        for (const run of quarantine.getCrashes(now)) {
+            peer.environment.quarantine.addPeerCrash(run);
         }
     }
 
@@ -126,8 +126,8 @@
             deadlines.note = () => false;
         }
         if (this.without.has(Mechanism.Timeliness)) {
-            const { ask } = queue;
-            queue.ask = relay => ask.call(queue, { ...relay, timelyUntil: Infinity });
+            const { submit: ask } = queue;
+            queue.submit = relay => ask.call(queue, { ...relay, timelyUntil: Infinity });
         }
     }
 }
--- a/src/process/router/peerState.ts
+++ b/src/process/router/peerState.ts
@@ -66,7 +66,7 @@
                 create(SuspicionRecordSchema, { endpointId, remaining: Math.round(remainingMilliseconds), isRefusing })
             ),
             readings: readings.getReadings(now).map(reading => create(ReadingRecordSchema, reading)),
-            endedRuns: quarantine.getRuns(now).map(({ fingerprint, endpointId, at }) =>
+            endedRuns: quarantine.getCrashes(now).map(({ fingerprint, endpointId, at }) =>
                 create(EndedRunRecordSchema, { fingerprint, endpointId, age: Math.round(now - at) })
             ),
             endpointLimits: limits.listReports(now).map(({ endpointId, requestsPerSecond, at, demand }) =>
@@ -97,7 +97,7 @@
             onUpdate();
         }
         for (const { fingerprint, endpointId, age } of message.endedRuns) {
-            quarantine.takeRun({ fingerprint, endpointId, at: now - age });
+            quarantine.addPeerCrash({ fingerprint, endpointId, at: now - age });
         }
         for (const reading of message.readings) {
             readings.add(reading, now);
--- a/src/process/router/quarantinePersister.ts
+++ b/src/process/router/quarantinePersister.ts
@@ -115,7 +115,7 @@
         const wallTime = clock.getWallTime();
         const now = clock.getMonotonicTime();
         for (const { fingerprint, endpointId, endedAt } of runs) {
-            quarantine.takeRun({ fingerprint, endpointId, at: now - Math.max(0, wallTime - endedAt) });
+            quarantine.addPeerCrash({ fingerprint, endpointId, at: now - Math.max(0, wallTime - endedAt) });
         }
     }
 
@@ -123,7 +123,7 @@
         const { quarantine, clock } = this.options;
         const wallTime = clock.getWallTime();
         const now = clock.getMonotonicTime();
-        const runs = quarantine.getHeldRuns(now).map(({ fingerprint, endpointId, at }) => ({
+        const runs = quarantine.getHeldCrashes(now).map(({ fingerprint, endpointId, at }) => ({
             fingerprint,
             endpointId,
             endedAt: Math.round(wallTime - (now - at)),
--- a/src/process/router/requestRouter.ts
+++ b/src/process/router/requestRouter.ts
@@ -7,7 +7,7 @@
 import type { RelayRefusal } from "../../request/relay/relayRefusal.ts";
 import type { RelayTask } from "../../request/relay/relayTask.ts";
 import type { RoutedRequest } from "../../request/relay/routedRequest.ts";
-import type { StallWatch } from "../../request/relay/stallWatch.ts";
+import type { StallDetector } from "../../request/relay/stallDetector.ts";
 import { StreamRelay } from "../../request/relay/streamRelay.ts";
 import type { Route } from "../../version/routing/route.ts";
 import { events } from "../logging/events.ts";
@@ -19,7 +19,7 @@
 interface RequestRouterOptions {
     environment: RelayEnvironment;
     holder: RoutingHolder;
-    stalls: StallWatch;
+    stalls: StallDetector;
     metrics: Metrics;
     loop: Pick<EventLoopMonitor, "getLateness">;
 }
@@ -91,7 +91,7 @@
     private relay(task: RelayTask): void {
         const { environment, stalls, metrics } = this.options;
         const { request, service } = task;
-        environment.repeats.observeRequest();
+        environment.retryBudget.observeRequest();
         metrics.relaysInProgress.inc();
         const finish = () => {
             metrics.relaysInProgress.dec();
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -8,14 +8,14 @@
 import { FirstEventTimes } from "../../request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../request/relay/limits/endpointLimits.ts";
 import { LinkDelays } from "../../request/relay/linkDelays.ts";
-import { PipeLoad } from "../../request/relay/pipeLoad.ts";
-import { PipeShares } from "../../request/relay/pipeShares.ts";
+import { LinkPacer } from "../../request/relay/linkPacer.ts";
+import { LinkTraffic } from "../../request/relay/linkTraffic.ts";
 import { RequestQuarantine } from "../../request/relay/quarantine/requestQuarantine.ts";
-import { RefusalWatch } from "../../request/relay/refusalWatch.ts";
+import { RefusalDetector } from "../../request/relay/refusalDetector.ts";
 import type { RelayEnvironment } from "../../request/relay/relayEnvironment.ts";
 import { RelayQueue } from "../../request/relay/relayQueue.ts";
 import type { RoutedRequest } from "../../request/relay/routedRequest.ts";
-import { StallWatch } from "../../request/relay/stallWatch.ts";
+import { StallDetector } from "../../request/relay/stallDetector.ts";
 import type { RoutedService } from "../../version/routing/routedService.ts";
 import { RouterService } from "../../wire/generated/foxlead/router/v1/router_pb.ts";
 import type { TimerHandle } from "../clock.ts";
@@ -65,7 +65,7 @@
     private readonly duty: PlacementDuty;
     private readonly router: RequestRouter;
     private readonly poll: EndpointPoller;
-    private readonly stalls: StallWatch;
+    private readonly stalls: StallDetector;
     private readonly queue: RelayQueue;
     private readonly loads: EndpointLoads;
     private readonly quarantinePersister: QuarantinePersister;
@@ -110,7 +110,7 @@
         const quarantine = RequestQuarantine.create({
             log,
             getAliveTime: endpointId => this.health.getLastAliveTime(endpointId),
-            onEnded: isHeldBack => {
+            onCrash: isHeldBack => {
                 metrics.endpointEndsTotal.inc({ outcome: isHeldBack ? "heldBack" : "suspected" });
                 // The caller may send the request again to any other node a moment later.
                 this.exchange.propagateUpdate();
@@ -135,7 +135,7 @@
             drainMilliseconds: settings.drainMilliseconds,
             getLastStoreFailure: () => this.storeWatch.getLastFailure(),
             onChange: () => this.scheduleCleanup(),
-            onRestart: earlier => this.stalls.loseEndpoint(earlier),
+            onRestart: earlier => this.stalls.handleEndpointRestart(earlier),
         });
         const configuration = RecordSection.create({
             name: "configuration",
@@ -196,7 +196,7 @@
                 getDemand: () => queue.getDemand(),
                 onUpdate: () => this.exchange.propagateUpdate(),
             }),
-            isBusy: () => queue.isBusy(),
+            isBusy: () => queue.isContended(),
             clock,
             random,
             log,
@@ -219,7 +219,7 @@
             directory: this.registry,
             loads,
             health: this.health,
-            refusals: RefusalWatch.create({
+            refusals: RefusalDetector.create({
                 health: this.health,
                 clock,
                 log,
@@ -231,11 +231,14 @@
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines: UsualDeadlines.create(),
-            crossings: LinkDelays.create(),
-            pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => loads.getDemandShare(queue.getDemand(), this.getNodeCount())),
+            crossingDelays: LinkDelays.create(),
+            linkTraffic: LinkTraffic.create(),
+            linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), this.getNodeCount())),
             getNodeCount: () => this.getNodeCount(),
-            repeats: RetryBudget.create(clock.getMonotonicTime(), () => getRetryPolicy(settings, this.getNodeCount())),
+            retryBudget: RetryBudget.create(
+                clock.getMonotonicTime(),
+                () => getRetryPolicy(settings, this.getNodeCount()),
+            ),
         };
         this.duty = PlacementDuty.create({
             store,
@@ -260,7 +263,7 @@
             getEndpoints: () => this.getModelServices().flatMap(({ name }) => [...this.registry.getEndpoints(name)]),
             fetchReport: endpoint => calls.fetchReport(endpoint),
         });
-        this.stalls = StallWatch.create({
+        this.stalls = StallDetector.create({
             environment,
             clock,
             fetchReport: endpoint => calls.fetchReport(endpoint),
--- a/src/request/relay/runAllowance.ts
+++ b/src/request/relay/attemptLimit.ts
@@ -6,7 +6,7 @@
 const hardAttemptLimit = 6;
 
 /** Limits the attempts of a request as its route specifies. Runs on first stages that have been lost since don't count. */
-export class RunAllowance {
+export class AttemptLimit {
     private readonly environment: RelayEnvironment;
     private readonly task: RelayTask;
     /** First stages that may have run the request. */
@@ -20,17 +20,17 @@
     }
 
     /** Creates the limit for a request that was not sent yet. */
-    static create(environment: RelayEnvironment, task: RelayTask): RunAllowance {
-        return new RunAllowance(environment, task);
+    static create(environment: RelayEnvironment, task: RelayTask): AttemptLimit {
+        return new AttemptLimit(environment, task);
     }
 
     /** Gets the number of attempts. */
-    getSendings(): number {
+    getAttemptCount(): number {
         return this.attemptCount;
     }
 
     /** Counts an attempt. */
-    noteSending(): void {
+    noteAttempt(): void {
         this.attemptCount += 1;
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Gets if the request may be sent to another first stage. */
-    mayRunAgain(): boolean {
+    mayAttemptAgain(): boolean {
         if (this.attemptCount >= hardAttemptLimit || this.refusalCount > maximumRefusals) {
             return false;
         }
--- a/src/request/relay/chooseHealthyStages.ts
+++ b/src/request/relay/chooseHealthyStages.ts
@@ -23,7 +23,7 @@
     if (stages !== undefined || healthy.length === candidates.length) {
         return stages;
     }
-    const isOnlyFull = !query.mayOverfill
-        && chooseStages({ ...query, mayOverfill: true }, healthy, random) !== undefined;
+    const isOnlyFull = !query.mayOvercommit
+        && chooseStages({ ...query, mayOvercommit: true }, healthy, random) !== undefined;
     return isOnlyFull ? undefined : chooseStages(query, candidates, random);
 }
--- a/src/request/relay/chooseStages.ts
+++ b/src/request/relay/chooseStages.ts
@@ -73,7 +73,7 @@
             if (layer === 0 && firstStage !== undefined && candidate.endpoint.id !== firstStage.endpoint.id) {
                 continue;
             }
-            if (!query.mayOverfill && !hasFreeMemory(query, candidate, end - start)) {
+            if (!query.mayOvercommit && !hasFreeMemory(query, candidate, end - start)) {
                 continue;
             }
             if (mayUsePartialRanges ? start > layer || end <= layer : start !== layer) {
@@ -132,8 +132,8 @@
     for (const [dataCentre, previous] of chains) {
         const { dataCentre: to } = candidate.endpoint;
         // Requests to the first stage don't count against this node's share of the link.
-        const linkWait = layer === 0 || dataCentre === to ? 0 : query.getPipeWait(dataCentre, to);
-        if (linkWait > 0 && !query.mayOverfill) {
+        const linkWait = layer === 0 || dataCentre === to ? 0 : query.getLinkWait(dataCentre, to);
+        if (linkWait > 0 && !query.mayOvercommit) {
             continue;
         }
         const linkCost = dataCentre === to ? 0 : getLinkCost(query, layer, dataCentre, to) + linkWait;
@@ -180,7 +180,7 @@
 }
 
 function hasFreeMemory(query: StageQuery, candidate: StageCandidate, layers: number): boolean {
-    const reserved = query.sparePart * candidate.totalTokenLayers;
+    const reserved = query.spareFraction * candidate.totalTokenLayers;
     return getNeededMemory(query, layers) + reserved <= candidate.roomTokenLayers;
 }
 
@@ -194,7 +194,7 @@
  * links, since all chains share them.
  */
 function getLinkCost(query: StageQuery, layer: number, from: string, to: string): number {
-    const { model, promptTokens, answerTokens, pipeUse } = query;
+    const { model, promptTokens, answerTokens, linkUtilization: pipeUse } = query;
     if (layer === 0) {
         return remoteFirstStageMilliseconds;
     }
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -33,7 +33,7 @@
 export function createQueuedRelay(options: QueuedRelayOptions): QueuedRelay {
     const { environment, task, chains, avoided, isRetry: isRepeat, start, refuse } = options;
     const { request, route, customer, rank, isReturn, dueAt } = task;
-    const { clock, firstEvents, repeats } = environment;
+    const { clock, firstEvents, retryBudget: repeats } = environment;
     const reservedMilliseconds = Math.min(
         firstEvents.getExpected(),
         route.objectiveMilliseconds * maximumReserveFraction,
@@ -52,18 +52,23 @@
         takePlace: () => {
             const now = clock.getMonotonicTime();
             const sparePart = now > timelyUntil ? reservedFractionForTimely : 0;
-            const stages = chains.chooseOpen({ avoid: avoided, mayOverfill: false, sparePart, closed });
+            const stages = chains.chooseWithinLimits({
+                avoid: avoided,
+                mayOvercommit: false,
+                spareFraction: sparePart,
+                closed,
+            });
             if (stages === undefined) {
                 return undefined;
             }
             if (isRepeat && !repeats.takeRetry(now)) {
-                chains.giveBack(stages);
+                chains.refundLimit(stages);
                 return undefined;
             }
             return { stages, reservation: chains.reserve(stages) };
         },
         isServable: () => chains.hasChain(avoided),
-        getLimitReturn: () => chains.getLimitReturn({ avoid: avoided, closed }),
+        getLimitReturn: () => chains.getLimitRetryDelay({ avoid: avoided, closed }),
         start,
         refuse,
     };
--- a/src/request/relay/documentRelay.ts
+++ b/src/request/relay/documentRelay.ts
@@ -183,7 +183,7 @@
             this.endAttempt(attempt, { isNotRun: true, cause: "the endpoints refused it." });
             return;
         }
-        this.quarantine.noteOutlived();
+        this.quarantine.markSafe();
         const answer = { head, body: Buffer.concat(attempt.chunks) };
         if (head.status >= serverErrorStatus) {
             health.addFailure(attempt.endpoint.id, now);
@@ -207,7 +207,7 @@
         }
         else {
             health.addFailure(attempt.endpoint.id, this.getTime());
-            this.quarantine.noteEnded(attempt.endpoint.id, attempt.sentAt);
+            this.quarantine.noteCrash(attempt.endpoint.id, attempt.sentAt);
         }
         this.endAttempt(attempt, {
             isNotRun,
@@ -317,7 +317,7 @@
     }
 
     private takeRetryFromBudget(): boolean {
-        return this.environment.repeats.takeRetry(this.getTime());
+        return this.environment.retryBudget.takeRetry(this.getTime());
     }
 
     private deliver(answer: WholeAnswer, endpoint: RegisteredEndpoint): void {
--- a/src/request/relay/pipeShares.ts
+++ b/src/request/relay/linkPacer.ts
@@ -28,7 +28,7 @@
  *
  * Deterministic: depends only on its state and arguments. Times are monotonic, in milliseconds.
  */
-export class PipeShares {
+export class LinkPacer {
     private readonly uses = new Map<string, LinkUse>();
     private readonly getShare: () => number;
 
@@ -40,8 +40,8 @@
      * Creates the pacing of a node that has not used any link.
      * @param getShare - Gets this node's share of the demand of all nodes, above 0 and at most 1.
      */
-    static create(getShare: () => number): PipeShares {
-        return new PipeShares(getShare);
+    static create(getShare: () => number): LinkPacer {
+        return new LinkPacer(getShare);
     }
 
     /**
@@ -61,7 +61,7 @@
      * @param tokens - Tokens of the whole request, or of the context that is moved.
      * @param now - Monotonic time in milliseconds.
      */
-    take(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
+    reserve(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
         const rate = model.pipeMegabits * bitsPerMillisecond * usableFraction * this.getShare();
         const key = formatDataCentreLink(from, to);
         const start = Math.max(now, this.uses.get(key)?.freeAt ?? now);
--- a/src/request/relay/pipeLoad.ts
+++ b/src/request/relay/linkTraffic.ts
@@ -3,15 +3,15 @@
 const millisecondsPerSecond = 1_000;
 
 /** Moving average of the activation traffic between data centres that this node's requests cause. */
-export class PipeLoad {
+export class LinkTraffic {
     private bits = 0;
     private updatedAt = 0;
 
     private constructor() {}
 
     /** Creates an average without traffic. */
-    static create(): PipeLoad {
-        return new PipeLoad();
+    static create(): LinkTraffic {
+        return new LinkTraffic();
     }
 
     /**
--- a/src/request/relay/quarantine/requestQuarantine.ts
+++ b/src/request/relay/quarantine/requestQuarantine.ts
@@ -1,8 +1,8 @@
 import { LRUCache } from "lru-cache";
 import type { EventLog } from "../../../process/logging/eventLog.ts";
 import { events } from "../../../process/logging/events.ts";
-import type { EndedRun } from "./endedRun.ts";
 import type { RequestHold } from "./requestHold.ts";
+import type { SuspectedCrash } from "./suspectedCrash.ts";
 
 /** Options of a {@link RequestQuarantine}. */
 interface RequestQuarantineOptions {
@@ -10,7 +10,7 @@
     /** Gets the monotonic time in milliseconds at which an endpoint was last seen alive; -Infinity if never. */
     getAliveTime(endpointId: string): number;
     /** Called when an endpoint seems to have crashed, with whether the request is held back. Peers must be informed immediately. */
-    onEnded?(isHeldBack: boolean): void;
+    onCrash?(isHeldBack: boolean): void;
 }
 
 /** Times at which the connections to crashed endpoints broke, by endpoint id. */
@@ -64,7 +64,7 @@
      * @param crash - The suspected crash.
      * @param requestId - Id of this attempt, for the log.
      */
-    noteEnded(crash: EndedRun, requestId: string): void {
+    noteCrash(crash: SuspectedCrash, requestId: string): void {
         if (!this.addCrash(crash)) {
             return;
         }
@@ -72,16 +72,16 @@
         const isHeldBack = this.getHold(fingerprint, at) !== undefined;
         const details = { request: requestId, fingerprint, endpoint: endpointId, isHeldBack };
         this.options.log.write(events.endpointEndedUnderRequest, details);
-        this.options.onEnded?.(isHeldBack);
+        this.options.onCrash?.(isHeldBack);
     }
 
     /** Adds a suspected crash that a peer reported. */
-    takeRun(crash: EndedRun): void {
+    addPeerCrash(crash: SuspectedCrash): void {
         this.addCrash(crash);
     }
 
     /** Records that an endpoint has run a request without crashing, which clears the request of all suspicion. */
-    noteServed(fingerprint: string): void {
+    markSafe(fingerprint: string): void {
         this.suspectRequests.delete(fingerprint);
         this.safeRequests.set(fingerprint, true);
     }
@@ -97,18 +97,18 @@
     }
 
     /** Gets the crashes to announce to peers: recent ones, and those of held-back requests for nodes that have just started. */
-    getRuns(now: number): EndedRun[] {
+    getCrashes(now: number): SuspectedCrash[] {
         return this.listCrashes(now, announcementMilliseconds);
     }
 
     /** Gets the crashes of requests that are held back. */
-    getHeldRuns(now: number): EndedRun[] {
+    getHeldCrashes(now: number): SuspectedCrash[] {
         return this.listCrashes(now, 0);
     }
 
     /** Lists the crashes of requests that are held back, and all recent crashes. */
-    private listCrashes(now: number, maximumAgeMilliseconds: number): EndedRun[] {
-        const crashes: EndedRun[] = [];
+    private listCrashes(now: number, maximumAgeMilliseconds: number): SuspectedCrash[] {
+        const crashes: SuspectedCrash[] = [];
         for (const [fingerprint, endpoints] of this.suspectRequests.entries()) {
             const isHeld = this.findHold(endpoints, now) !== undefined;
             for (const [endpointId, at] of endpoints) {
@@ -124,7 +124,7 @@
     }
 
     /** Adds a suspected crash. Returns whether it is new. */
-    private addCrash({ fingerprint, endpointId, at }: EndedRun): boolean {
+    private addCrash({ fingerprint, endpointId, at }: SuspectedCrash): boolean {
         const endpoints: CrashTimes = this.suspectRequests.get(fingerprint) ?? new Map();
         if (this.safeRequests.has(fingerprint) || endpoints.has(endpointId)) {
             return false;
--- a/src/request/relay/quarantine/taskQuarantine.ts
+++ b/src/request/relay/quarantine/taskQuarantine.ts
@@ -39,10 +39,10 @@
     }
 
     /** Records that an endpoint has run the request without crashing, so that the request is not the cause of other crashes. */
-    noteOutlived(): void {
+    markSafe(): void {
         if (!this.isSafe) {
             this.isSafe = true;
-            this.environment.quarantine.noteServed(this.task.fingerprint);
+            this.environment.quarantine.markSafe(this.task.fingerprint);
         }
     }
 
@@ -51,11 +51,11 @@
      * @param endpointId - Id of the endpoint that seems to have crashed.
      * @param sentAt - Monotonic time in milliseconds at which the request was sent to it.
      */
-    noteEnded(endpointId: string, sentAt: number): void {
+    noteCrash(endpointId: string, sentAt: number): void {
         const at = this.environment.clock.getMonotonicTime();
         if (!this.isSafe && at - sentAt >= minimumRunMilliseconds) {
             const { fingerprint, request } = this.task;
-            this.environment.quarantine.noteEnded({ fingerprint, endpointId, at }, request.id);
+            this.environment.quarantine.noteCrash({ fingerprint, endpointId, at }, request.id);
         }
     }
 }
--- a/src/request/relay/refusalWatch.ts
+++ b/src/request/relay/refusalDetector.ts
@@ -6,7 +6,7 @@
 import { isRefusalLasting } from "./isRefusalLasting.ts";
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 
-/** Options of a {@link RefusalWatch}. */
+/** Options of a {@link RefusalDetector}. */
 interface RefusalDetectorOptions {
     health: EndpointHealth;
     clock: Pick<Clock, "getMonotonicTime" | "setTimer">;
@@ -30,7 +30,7 @@
  * each of these endpoints by refused requests, again on every check whether the endpoint is back. This uses up the retry budget of all
  * nodes, and requests are rejected although other endpoints have room for them.
  */
-export class RefusalWatch {
+export class RefusalDetector {
     private readonly options: RefusalDetectorOptions;
     private readonly checking = new Set<string>();
 
@@ -39,8 +39,8 @@
     }
 
     /** Creates a detector without refusals. */
-    static create(options: RefusalDetectorOptions): RefusalWatch {
-        return new RefusalWatch(options);
+    static create(options: RefusalDetectorOptions): RefusalDetector {
+        return new RefusalDetector(options);
     }
 
     /** Checks why an endpoint refused a request although it was expected to have room. */
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -20,9 +20,9 @@
     /** First stage of the chain, if a running request moves. */
     firstStage?: RelayStage;
     /** Whether endpoints without room for the request may be used. */
-    mayOverfill: boolean;
+    mayOvercommit: boolean;
     /** Fraction of each endpoint's memory that must stay free for other requests. Default: 0. */
-    sparePart?: number;
+    spareFraction?: number;
     /** Ids of endpoints whose rate limits rejected the request. */
     closed?: ReadonlySet<string>;
 }
@@ -57,7 +57,9 @@
     }
 
     /** Chooses the best chain, or returns undefined if there is none. */
-    choose({ avoid, firstStage, mayOverfill, sparePart = 0, closed }: ChainRequirements): RelayStage[] | undefined {
+    choose(
+        { avoid, firstStage, mayOvercommit, spareFraction = 0, closed }: ChainRequirements,
+    ): RelayStage[] | undefined {
         const { environment, model, task } = this;
         const now = environment.clock.getMonotonicTime();
         const query: StageQuery = {
@@ -65,13 +67,13 @@
             promptTokens: this.getPromptTokens(),
             answerTokens: this.getAnswerTokens(),
             dataCentre: environment.dataCentre,
-            pipeUse: this.getLinkUtilization(now),
+            linkUtilization: this.getLinkUtilization(now),
             firstStage,
-            mayOverfill,
-            sparePart,
+            mayOvercommit,
+            spareFraction,
             isConnected: address => environment.pools.getPool(address).hasIdle(),
-            getCrossingDelay: (from, to) => environment.crossings.getDelay(from, to, now),
-            getPipeWait: (from, to) => environment.pipeShares.getWait(from, to, now),
+            getCrossingDelay: (from, to) => environment.crossingDelays.getDelay(from, to, now),
+            getLinkWait: (from, to) => environment.linkPacer.getWait(from, to, now),
         };
         const candidates = listCandidates(environment, model, task.service.name)
             .filter(({ endpoint: { id } }) => !avoid.has(id) && closed?.has(id) !== true);
@@ -82,7 +84,7 @@
      * Chooses the best chain within the endpoints' rate limits and counts the request against the limit of its first stage, since only
      * the first stage receives the request from this node.
      */
-    chooseOpen(requirements: LimitedChainRequirements): RelayStage[] | undefined {
+    chooseWithinLimits(requirements: LimitedChainRequirements): RelayStage[] | undefined {
         const { limits, clock } = this.environment;
         const { closed } = requirements;
         let triedCount = 0;
@@ -100,8 +102,8 @@
         return undefined;
     }
 
-    /** Returns to the rate limit what {@link chooseOpen} took, if nothing is sent. */
-    giveBack(stages: readonly RelayStage[]): void {
+    /** Returns to the rate limit what {@link chooseWithinLimits} took, if nothing is sent. */
+    refundLimit(stages: readonly RelayStage[]): void {
         this.environment.limits.refund(stages[0]!.endpoint.id);
     }
 
@@ -109,8 +111,8 @@
      * Gets the delay in milliseconds after which the caller should retry, if only rate limits prevent the request from starting.
      * Undefined otherwise.
      */
-    getLimitReturn({ avoid, closed }: Pick<LimitedChainRequirements, "avoid" | "closed">): number | undefined {
-        const isRateLimited = closed.size > 0 && this.choose({ avoid, closed, mayOverfill: true }) === undefined;
+    getLimitRetryDelay({ avoid, closed }: Pick<LimitedChainRequirements, "avoid" | "closed">): number | undefined {
+        const isRateLimited = closed.size > 0 && this.choose({ avoid, closed, mayOvercommit: true }) === undefined;
         const { limits, clock } = this.environment;
         return isRateLimited ? limits.bookRetry(closed, clock.getMonotonicTime()) : undefined;
     }
@@ -131,15 +133,15 @@
      */
     reserve(stages: readonly RelayStage[]): LoadReservation {
         assertValidChain(stages, this.model.layers);
-        const { loads, pipeLoad, pipeShares, clock, queue } = this.environment;
+        const { loads, linkTraffic, linkPacer, clock, queue } = this.environment;
         const tokens = this.getTokens();
         const now = clock.getMonotonicTime();
         const crossings = listDataCentreLinks(listDataCentres(stages));
-        pipeLoad.add(crossings.length * getActivationBits(this.model, tokens), now);
+        linkTraffic.add(crossings.length * getActivationBits(this.model, tokens), now);
         for (const { from, to } of crossings) {
-            pipeShares.take(from, to, this.model, tokens, now);
+            linkPacer.reserve(from, to, this.model, tokens, now);
         }
-        if (stages.some(({ endpoint }) => this.getMemoryPart(endpoint) > scarceMemoryFraction)) {
+        if (stages.some(({ endpoint }) => this.getUsedMemoryFraction(endpoint) > scarceMemoryFraction)) {
             queue.noteContention();
         }
         return loads.reserveStages(stages, tokens, now);
@@ -157,11 +159,11 @@
     hasChain(avoid: ReadonlySet<string>): boolean {
         const { directory } = this.environment;
         return directory.getEndpoints(this.task.service.name).length === 0
-            || this.choose({ avoid, mayOverfill: true }) !== undefined;
+            || this.choose({ avoid, mayOvercommit: true }) !== undefined;
     }
 
     /** Gets the known used fraction of an endpoint's memory; 0 for an endpoint without layers. */
-    getMemoryPart({ id, kind: kindName, layers }: RegisteredEndpoint): number {
+    getUsedMemoryFraction({ id, kind: kindName, layers }: RegisteredEndpoint): number {
         const { loads, directory } = this.environment;
         const kind = this.model.kinds.get(kindName ?? "");
         if (kind === undefined || layers === undefined) {
@@ -173,8 +175,8 @@
 
     /** Estimates the utilization of the links between data centres from this node's traffic, since callers are spread over the nodes. */
     private getLinkUtilization(now: number): number {
-        const { pipeLoad, getNodeCount } = this.environment;
-        return pipeLoad.getRate(now) * getNodeCount() / (this.model.pipeMegabits * bitsPerMegabit);
+        const { linkTraffic, getNodeCount } = this.environment;
+        return linkTraffic.getRate(now) * getNodeCount() / (this.model.pipeMegabits * bitsPerMegabit);
     }
 
     private getPromptTokens(): number {
--- a/src/request/relay/relayEnvironment.ts
+++ b/src/request/relay/relayEnvironment.ts
@@ -9,10 +9,10 @@
 import type { FirstEventTimes } from "./firstEventTimes.ts";
 import type { EndpointLimits } from "./limits/endpointLimits.ts";
 import type { LinkDelays } from "./linkDelays.ts";
-import type { PipeLoad } from "./pipeLoad.ts";
-import type { PipeShares } from "./pipeShares.ts";
+import type { LinkPacer } from "./linkPacer.ts";
+import type { LinkTraffic } from "./linkTraffic.ts";
 import type { RequestQuarantine } from "./quarantine/requestQuarantine.ts";
-import type { RefusalWatch } from "./refusalWatch.ts";
+import type { RefusalDetector } from "./refusalDetector.ts";
 import type { RelayDirectory } from "./relayDirectory.ts";
 import type { RelayQueue } from "./relayQueue.ts";
 import type { RelayTransport } from "./relayTransport.ts";
@@ -29,18 +29,18 @@
     directory: RelayDirectory;
     loads: EndpointLoads;
     health: EndpointHealth;
-    refusals: Pick<RefusalWatch, "note">;
+    refusals: Pick<RefusalDetector, "note">;
     /** Rate limits that endpoints set for all nodes together. */
     limits: EndpointLimits;
-    repeats: RetryBudget;
+    retryBudget: RetryBudget;
     quarantine: RequestQuarantine;
     queue: RelayQueue;
     firstEvents: FirstEventTimes;
     deadlines: UsualDeadlines;
-    crossings: LinkDelays;
+    crossingDelays: LinkDelays;
     /** Traffic between data centres caused by this node's requests. */
-    pipeLoad: PipeLoad;
-    pipeShares: PipeShares;
+    linkTraffic: LinkTraffic;
+    linkPacer: LinkPacer;
     /** Gets the number of live nodes, including this one. */
     getNodeCount(): number;
 }
--- a/src/request/relay/relayQueue.ts
+++ b/src/request/relay/relayQueue.ts
@@ -5,7 +5,7 @@
 import type { StartDecision } from "../admission/start/startDecision.ts";
 import { StartLine } from "../admission/start/startLine.ts";
 import type { QueuedRelay } from "./queuedRelay.ts";
-import type { RelayPlace } from "./relayPlace.ts";
+import type { ReservedChain } from "./reservedChain.ts";
 
 /** Options of a {@link RelayQueue}. */
 interface RelayQueueOptions {
@@ -13,7 +13,7 @@
     random: RandomSource;
     log: EventLog;
     /** Called with each decision on a request, both on its arrival and after it waited. */
-    onDecided?(decision: StartDecision<RelayPlace>["kind"]): void;
+    onDecided?(decision: StartDecision<ReservedChain>["kind"]): void;
     /** Called when a request that waited is started, with its actual and its expected wait. */
     onWaited?(milliseconds: number, expectedMilliseconds: number): void;
 }
@@ -32,7 +32,7 @@
 /** Queue of requests for chains. Executes the decisions of {@link StartLine} and reviews them when something has changed. */
 export class RelayQueue {
     private readonly options: RelayQueueOptions;
-    private readonly startQueue: StartLine<RelayPlace>;
+    private readonly startQueue: StartLine<ReservedChain>;
     private timer: TimerHandle | undefined;
     private readonly waits = new Map<QueuedRelay, QueuedWait>();
     private isReviewDue = false;
@@ -49,7 +49,7 @@
     }
 
     /** Starts, queues or rejects a request. Starts and rejections take effect immediately. */
-    ask(relay: QueuedRelay): void {
+    submit(relay: QueuedRelay): void {
         const decision = this.startQueue.decideArrival(relay, this.getTime());
         this.options.onDecided?.(decision.kind);
         if (decision.kind !== "start") {
@@ -99,7 +99,7 @@
     }
 
     /** Gets if nodes contend for room, because requests had to wait recently or room was becoming scarce. */
-    isBusy(): boolean {
+    isContended(): boolean {
         return this.getTime() - this.contendedAt < contentionMilliseconds;
     }
 
@@ -138,7 +138,7 @@
         this.timer = this.options.clock.setTimer(delay, () => this.review());
     }
 
-    private execute(relay: QueuedRelay, decision: StartDecision<RelayPlace>): void {
+    private execute(relay: QueuedRelay, decision: StartDecision<ReservedChain>): void {
         if (decision.kind === "start") {
             relay.start(decision.place);
         }
--- a/src/request/relay/relayPlace.ts
+++ b/src/request/relay/reservedChain.ts
@@ -2,7 +2,7 @@
 import type { RelayStage } from "./relayStage.ts";
 
 /** A chain with capacity reserved for a request. */
-export interface RelayPlace {
+export interface ReservedChain {
     stages: RelayStage[];
     reservation: LoadReservation;
 }
--- a/src/request/relay/stageQuery.ts
+++ b/src/request/relay/stageQuery.ts
@@ -9,15 +9,15 @@
     /** Data centre of the node that the caller is connected to. */
     dataCentre: string;
     /** Whether endpoints without room for the request may be chosen. An endpoint that runs out of memory preempts running streams. */
-    mayOverfill: boolean;
+    mayOvercommit: boolean;
     /** Fraction of each endpoint's memory that must stay free for other requests, 0 to 1. */
-    sparePart: number;
+    spareFraction: number;
     /** Utilization of the links between data centres, 0 to 1. */
-    pipeUse: number;
+    linkUtilization: number;
     /** Gets the recently observed delay that a link between data centres adds to first events, in milliseconds. */
     getCrossingDelay(from: string, to: string): number;
     /** Gets how long this node's share of the link from one data centre to another stays occupied, in milliseconds. */
-    getPipeWait(from: string, to: string): number;
+    getLinkWait(from: string, to: string): number;
     /** Gets if a connection to an endpoint's address is open and idle. */
     isConnected(address: string): boolean;
     /** First stage of the chain, if a running request moves to another chain. */
--- a/src/request/relay/stallWatch.ts
+++ b/src/request/relay/stallDetector.ts
@@ -7,7 +7,7 @@
 import type { RerouteOutcome } from "./rerouteOutcome.ts";
 import type { StreamRelay } from "./streamRelay.ts";
 
-/** Options of a {@link StallWatch}. */
+/** Options of a {@link StallDetector}. */
 interface StallDetectorOptions {
     environment: RelayEnvironment;
     clock: Clock;
@@ -31,7 +31,7 @@
  * Detects stalled streams, finds the endpoint that blocks them from the report of their first stage, and moves them to
  * other chains before their callers give up. Streams with the same first stage share a report.
  */
-export class StallWatch {
+export class StallDetector {
     private readonly options: StallDetectorOptions;
     private readonly relays = new Set<StreamRelay>();
     private readonly reportRequestedAt = new Map<string, number>();
@@ -42,8 +42,8 @@
     }
 
     /** Creates a detector without streams. */
-    static create(options: StallDetectorOptions): StallWatch {
-        return new StallWatch(options);
+    static create(options: StallDetectorOptions): StallDetector {
+        return new StallDetector(options);
     }
 
     /** Monitors a stream until {@link remove} is called. */
@@ -62,7 +62,7 @@
      * otherwise be detected only when it exceeds the silence limit.
      * @param endpoint - The endpoint before the restart.
      */
-    loseEndpoint({ id }: RegisteredEndpoint): void {
+    handleEndpointRestart({ id }: RegisteredEndpoint): void {
         const lost = new Set([id]);
         for (const relay of [...this.relays]) {
             if (relay.getStages()?.some(({ endpoint }) => endpoint.id === id) === true) {
@@ -138,10 +138,10 @@
      * congested, and sending it again would add to the congestion.
      */
     private reviewUnexplained(relay: StreamRelay, first: RegisteredEndpoint, now: number): void {
-        const { crossings } = this.options.environment;
+        const { crossingDelays } = this.options.environment;
         const dataCentres = relay.getDataCentres();
         if (!relay.hasEvents()) {
-            crossings.recordFirstEvent(dataCentres, now - (relay.getSentAt() ?? now), now);
+            crossingDelays.recordFirstEvent(dataCentres, now - (relay.getSentAt() ?? now), now);
         }
         const isOverdue = now - (relay.getLastProgress() ?? now) > abandonMilliseconds;
         if (isOverdue && this.hasProgressingStream(dataCentres.join(), now)) {
--- a/src/request/relay/streamAnswerReader.ts
+++ b/src/request/relay/streamAnswerReader.ts
@@ -38,7 +38,7 @@
     }
 
     /** Handles the answer's head. */
-    takeHead(status: number, headers: IncomingHttpHeaders): void {
+    handleHead(status: number, headers: IncomingHttpHeaders): void {
         const { protocol, requestId, onHead, onEnd } = this.options;
         this.head = protocol.readHead(status, headers, requestId);
         if (!this.head.isForRequest) {
@@ -49,7 +49,7 @@
     }
 
     /** Handles bytes of the answer's body. */
-    takeData(chunk: Buffer): void {
+    handleData(chunk: Buffer): void {
         const { head } = this;
         if (head === undefined) {
             return;
@@ -64,7 +64,7 @@
     }
 
     /** Handles the end of the answer's body. */
-    takeEnd(): void {
+    handleEnd(): void {
         const { head } = this;
         if (head !== undefined) {
             this.options.onEnd(this.createEnd(head));
--- a/src/request/relay/streamStory.ts
+++ b/src/request/relay/streamLogger.ts
@@ -13,7 +13,7 @@
     attempt: StreamAttempt;
     end: StreamAttemptEnd;
     /** Number of attempts so far. */
-    sendings: number;
+    attemptCount: number;
     /** Used fraction of the first stage's memory. */
     memoryPart: number;
 }
@@ -23,7 +23,7 @@
     outcome: string;
     cause: string;
     /** Number of attempts. */
-    sendings: number;
+    attemptCount: number;
     /** The attempt that was in progress. */
     attempt: StreamAttempt | undefined;
     /** Monotonic time in milliseconds at which the first byte was sent to an endpoint. */
@@ -31,7 +31,7 @@
 }
 
 /** Writes the log entries of a streamed request. */
-export class StreamStory {
+export class StreamLogger {
     private readonly environment: RelayEnvironment;
     private readonly task: RelayTask;
     private readonly progress: StreamProgress;
@@ -44,8 +44,8 @@
     }
 
     /** Creates the logger of a request that was not sent yet. */
-    static create(environment: RelayEnvironment, task: RelayTask, progress: StreamProgress): StreamStory {
-        return new StreamStory(environment, task, progress);
+    static create(environment: RelayEnvironment, task: RelayTask, progress: StreamProgress): StreamLogger {
+        return new StreamLogger(environment, task, progress);
     }
 
     /** Logs that the request was moved to another chain. */
@@ -59,11 +59,11 @@
     }
 
     /** Logs why an attempt failed. */
-    writeFailure({ attempt, end, sendings, memoryPart }: FailedAttempt): void {
+    writeFailure({ attempt, end, attemptCount, memoryPart }: FailedAttempt): void {
         this.environment.log.write(events.relayAttemptFailed, {
             request: this.task.request.id,
             chain: formatStages(attempt.stages),
-            attempt: sendings,
+            attempt: attemptCount,
             isNotRun: end.isNotRun,
             cause: end.cause,
             avoided: end.avoid.join(","),
@@ -76,7 +76,7 @@
     }
 
     /** Logs how the request ended. */
-    writeEnd({ outcome, cause, sendings, attempt, firstSentAt }: EndedRequest): void {
+    writeEnd({ outcome, cause, attemptCount, attempt, firstSentAt }: EndedRequest): void {
         const { request, route, fingerprint, takenUpLateMilliseconds } = this.task;
         const { arrivedAt } = request;
         this.environment.log.write(events.relayEnded, {
@@ -85,7 +85,7 @@
             outcome,
             cause,
             fingerprint,
-            attempts: sendings,
+            attempts: attemptCount,
             reroutes: this.rerouteCount,
             events: this.progress.getCount(),
             chain: attempt === undefined ? "" : formatStages(attempt.stages),
--- a/src/request/relay/streamProgress.ts
+++ b/src/request/relay/streamProgress.ts
@@ -27,7 +27,7 @@
      * @param id - Id of the event; undefined if it has none, in which case it is always forwarded.
      * @param now - Monotonic time in milliseconds.
      */
-    take(id: number | undefined, now: number): EventVerdict {
+    accept(id: number | undefined, now: number): EventVerdict {
         if (id === undefined) {
             return EventVerdict.Pass;
         }
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -4,6 +4,7 @@
 import { events } from "../../process/logging/events.ts";
 import type { EngineModel } from "../../version/routing/engineModel.ts";
 import type { AnswerHead } from "./answerHead.ts";
+import { AttemptLimit } from "./attemptLimit.ts";
 import { createQueuedRelay } from "./createQueuedRelay.ts";
 import { createRefusal } from "./createRefusal.ts";
 import { EventVerdict } from "./eventVerdict.ts";
@@ -14,19 +15,18 @@
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 import { RelayChains } from "./relayChains.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
-import type { RelayPlace } from "./relayPlace.ts";
 import type { RelayRefusal } from "./relayRefusal.ts";
 import type { RelayStage } from "./relayStage.ts";
 import type { RelayTask } from "./relayTask.ts";
-import { RunAllowance } from "./runAllowance.ts";
+import type { ReservedChain } from "./reservedChain.ts";
 import { sendWholeAnswer } from "./sendWholeAnswer.ts";
 import type { StreamAnswerEnd } from "./streamAnswerEnd.ts";
 import { StreamAnswerReader } from "./streamAnswerReader.ts";
 import type { StreamAttempt } from "./streamAttempt.ts";
 import type { StreamAttemptEnd } from "./streamAttemptEnd.ts";
 import type { StreamEvent } from "./streamEvent.ts";
+import { StreamLogger } from "./streamLogger.ts";
 import { StreamProgress } from "./streamProgress.ts";
-import { StreamStory } from "./streamStory.ts";
 import type { WholeAnswer } from "./wholeAnswer.ts";
 
 /** A request that crashes the endpoint that runs it does so within a few steps. After this time it is considered safe. */
@@ -41,10 +41,10 @@
     readonly task: RelayTask;
     private readonly environment: RelayEnvironment;
     private readonly chains: RelayChains;
-    private readonly attemptLimit: RunAllowance;
+    private readonly attemptLimit: AttemptLimit;
     private readonly quarantine: TaskQuarantine;
     private readonly progress: StreamProgress;
-    private readonly logger: StreamStory;
+    private readonly logger: StreamLogger;
     private readonly onDone: () => void;
     private readonly avoided = new Set<string>();
     private timer: TimerHandle | undefined;
@@ -64,10 +64,10 @@
         this.task = task;
         this.onDone = onDone;
         this.chains = RelayChains.create(environment, task, model);
-        this.attemptLimit = RunAllowance.create(environment, task);
+        this.attemptLimit = AttemptLimit.create(environment, task);
         this.quarantine = TaskQuarantine.create(environment, task);
         this.progress = StreamProgress.create(task.request.lastEventId);
-        this.logger = StreamStory.create(environment, task, this.progress);
+        this.logger = StreamLogger.create(environment, task, this.progress);
     }
 
     /**
@@ -130,14 +130,14 @@
             return undefined;
         }
         const all = new Set([...this.avoided, ...avoid]);
-        return this.chains.choose({ avoid: all, firstStage, mayOverfill: true });
+        return this.chains.choose({ avoid: all, firstStage, mayOvercommit: true });
     }
 
     /** Records that endpoints are lost. If the request had just begun to run on them, it may have caused their crash. */
     noteLost(endpointIds: ReadonlySet<string>): void {
         for (const { endpoint } of this.attempt?.stages ?? []) {
             if (endpointIds.has(endpoint.id)) {
-                this.quarantine.noteEnded(endpoint.id, this.attempt!.sentAt);
+                this.quarantine.noteCrash(endpoint.id, this.attempt!.sentAt);
             }
         }
     }
@@ -173,18 +173,18 @@
     /**
      * Sends the request over the best chain, queues it, or ends it.
      * @param cause - Why there is no answer yet.
-     * @param isRepeat - Whether this is a retry, which counts against the retry budget.
+     * @param isRetry - Whether this is a retry, which counts against the retry budget.
      */
-    private startAttempt(cause: string, isRepeat = false): void {
+    private startAttempt(cause: string, isRetry = false): void {
         if (this.endIfHeld(cause)) {
             return;
         }
-        if (!this.attemptLimit.mayRunAgain()) {
+        if (!this.attemptLimit.mayAttemptAgain()) {
             this.giveUp(`${cause} The route allows no further attempt.`);
             return;
         }
         if (this.isHeadWritten) {
-            this.resume(cause, isRepeat);
+            this.resume(cause, isRetry);
             return;
         }
         const { environment, task, chains, avoided } = this;
@@ -193,7 +193,7 @@
             task,
             chains,
             avoided,
-            isRetry: isRepeat,
+            isRetry: isRetry,
             start: place => {
                 this.queuedRelay = undefined;
                 this.startReserved(place, cause);
@@ -203,14 +203,14 @@
                 this.reject(`${cause} ${reason}`, retryAfterMilliseconds);
             },
         });
-        environment.queue.ask(this.queuedRelay);
+        environment.queue.submit(this.queuedRelay);
     }
 
     /** Starts a queued request on its reserved chain, unless the request was quarantined while it waited. */
-    private startReserved(place: RelayPlace, cause: string): void {
+    private startReserved(place: ReservedChain, cause: string): void {
         if (this.endIfHeld(cause)) {
             this.environment.queue.noteEnd(this.chains.getTokens(), undefined);
-            this.chains.giveBack(place.stages);
+            this.chains.refundLimit(place.stages);
             place.reservation.release();
             return;
         }
@@ -227,16 +227,16 @@
     }
 
     /** Continues a stream that has begun. It does not wait for room, since its caller would give up. */
-    private resume(cause: string, isRepeat: boolean): void {
+    private resume(cause: string, isRetry: boolean): void {
         const { environment, chains, avoided, task } = this;
         environment.limits.noteRequest(task.service.name, this.getTime());
-        const stages = chains.chooseOpen({ avoid: avoided, mayOverfill: true, closed: new Set() });
+        const stages = chains.chooseWithinLimits({ avoid: avoided, mayOvercommit: true, closed: new Set() });
         if (stages === undefined) {
             this.giveUp(`${cause} No other chain has room.`);
             return;
         }
-        if (isRepeat && !environment.repeats.takeRetry(this.getTime())) {
-            chains.giveBack(stages);
+        if (isRetry && !environment.retryBudget.takeRetry(this.getTime())) {
+            chains.refundLimit(stages);
             this.giveUp(`${cause} The retry budget is used up.`);
             return;
         }
@@ -257,8 +257,8 @@
         this.giveUp(cause, createRefusal.notRun(cause, retryAfterMilliseconds));
     }
 
-    private beginAttempt({ stages, reservation }: RelayPlace): void {
-        this.attemptLimit.noteSending();
+    private beginAttempt({ stages, reservation }: ReservedChain): void {
+        this.attemptLimit.noteAttempt();
         const now = this.getTime();
         const attempt: StreamAttempt = {
             stages,
@@ -290,9 +290,9 @@
             onEnd: end => this.handleEnd(attempt, end),
         });
         attempt.exchange = pools.getPool(endpoint.address).sendForCaller(createRequest, {
-            onHead: (status, headers) => reader.takeHead(status, headers),
-            onData: chunk => reader.takeData(chunk),
-            onEnd: () => reader.takeEnd(),
+            onHead: (status, headers) => reader.handleHead(status, headers),
+            onData: chunk => reader.handleData(chunk),
+            onEnd: () => reader.handleEnd(),
             onFailure: failure => this.handleFailure(attempt, failure),
         });
     }
@@ -308,17 +308,21 @@
             this.environment.health.markAlive(endpoint.id, now);
         }
         if (now - (attempt.firstEventAt ?? now) >= safeAfterMilliseconds) {
-            this.quarantine.noteOutlived();
+            this.quarantine.markSafe();
         }
         if (attempt.firstEventAt === undefined) {
             attempt.firstEventAt = now;
-            this.environment.crossings.recordFirstEvent(listDataCentres(attempt.stages), now - attempt.sentAt, now);
+            this.environment.crossingDelays.recordFirstEvent(
+                listDataCentres(attempt.stages),
+                now - attempt.sentAt,
+                now,
+            );
             this.environment.firstEvents.record(now - attempt.sentAt);
             for (const { endpoint } of attempt.stages) {
                 this.environment.health.addSuccess(endpoint.id, now);
             }
         }
-        const verdict = this.progress.take(event.id, now);
+        const verdict = this.progress.accept(event.id, now);
         if (verdict === EventVerdict.Gap) {
             attempt.exchange?.abort();
             this.endAttempt(attempt, { isNotRun: false, cause: "an event of the stream is missing.", avoid: [] });
@@ -377,7 +381,7 @@
     }
 
     private complete(head: AnswerHead): void {
-        this.quarantine.noteOutlived();
+        this.quarantine.markSafe();
         this.writeHead(head);
         this.task.sink.end();
         this.finish("answered");
@@ -398,7 +402,7 @@
 
     private noteRefusal(endpoint: RegisteredEndpoint, status: number): string[] {
         const { environment, chains, task } = this;
-        const memoryPart = chains.getMemoryPart(endpoint);
+        const memoryPart = chains.getUsedMemoryFraction(endpoint);
         return noteRefusal({ environment, requestId: task.request.id, endpoint, status, memoryPart });
     }
 
@@ -413,15 +417,15 @@
             this.attemptLimit.noteRun(attempt.stages[0]!.endpoint.id);
         }
         if (end.isBroken === true) {
-            this.quarantine.noteEnded(attempt.stages[0]!.endpoint.id, attempt.sentAt);
+            this.quarantine.noteCrash(attempt.stages[0]!.endpoint.id, attempt.sentAt);
         }
         this.failureAnswer = end.failure ?? this.failureAnswer;
         for (const id of end.avoid) {
             this.avoided.add(id);
         }
-        const sendings = this.attemptLimit.getSendings();
-        const memoryPart = this.chains.getMemoryPart(attempt.stages[0]!.endpoint);
-        this.logger.writeFailure({ attempt, end, sendings, memoryPart });
+        const attemptCount = this.attemptLimit.getAttemptCount();
+        const memoryPart = this.chains.getUsedMemoryFraction(attempt.stages[0]!.endpoint);
+        this.logger.writeFailure({ attempt, end, attemptCount, memoryPart });
         if (end.isNotRun || this.isResumable()) {
             this.startAttempt(end.cause, !end.isUnsent);
             return;
@@ -492,7 +496,13 @@
             this.releaseAttempt(attempt);
         }
         const { firstSentAt } = this;
-        this.logger.writeEnd({ outcome, cause, sendings: this.attemptLimit.getSendings(), attempt, firstSentAt });
+        this.logger.writeEnd({
+            outcome,
+            cause,
+            attemptCount: this.attemptLimit.getAttemptCount(),
+            attempt,
+            firstSentAt,
+        });
         this.onDone();
     }
 
--- a/tests/process/router/quarantinePersister.test.ts
+++ b/tests/process/router/quarantinePersister.test.ts
@@ -27,7 +27,7 @@
     });
     const hold = (fingerprint: string) => {
         for (const endpointId of ["1", "2"]) {
-            quarantine.noteEnded({ fingerprint, endpointId, at: clock.getMonotonicTime() }, "request");
+            quarantine.noteCrash({ fingerprint, endpointId, at: clock.getMonotonicTime() }, "request");
         }
         keeper.save();
     };
--- a/tests/request/relay/chooseHealthyStages.test.ts
+++ b/tests/request/relay/chooseHealthyStages.test.ts
@@ -22,7 +22,7 @@
     });
 
     it("prefers a full endpoint to a suspect one if it must not wait", () => {
-        assert.deepEqual(choose([lost, full, last], { mayOverfill: true }), ["full", "last"]);
+        assert.deepEqual(choose([lost, full, last], { mayOvercommit: true }), ["full", "last"]);
     });
 
     it("tries a suspect endpoint if no other holds its layers", () => {
--- a/tests/request/relay/chooseStages.test.ts
+++ b/tests/request/relay/chooseStages.test.ts
@@ -7,7 +7,7 @@
 import type { StageQuery } from "../../../src/request/relay/stageQuery.ts";
 import { createCandidate, relayModel, stageQuery } from "./relayModel.ts";
 
-const query: StageQuery = { ...stageQuery, mayOverfill: true };
+const query: StageQuery = { ...stageQuery, mayOvercommit: true };
 
 function choose(candidates: StageCandidate[], changes: Partial<StageQuery> = {}): string[] | undefined {
     return chooseStages({ ...query, ...changes }, candidates, () => 0)?.map(({ endpoint }) => endpoint.id);
@@ -46,7 +46,7 @@
     it("uses an endpoint without free memory only if overfilling is allowed", () => {
         const candidates = [createCandidate("1", 0, 40), createCandidate("2", 40, 80, { tokenLayers: 4_500_000 })];
         assert.deepEqual(choose(candidates), ["1", "2"]);
-        assert.equal(choose(candidates, { mayOverfill: false }), undefined);
+        assert.equal(choose(candidates, { mayOvercommit: false }), undefined);
     });
 
     it("stays in the caller's data centre if the loads are equal", () => {
@@ -66,17 +66,17 @@
             createCandidate("3", 40, 80, { dataCentre: "b" }),
         ];
         assert.deepEqual(choose(candidates), ["1", "3"]);
-        assert.deepEqual(choose(candidates, { pipeUse: 0.9 }), ["1", "2"]);
+        assert.deepEqual(choose(candidates, { linkUtilization: 0.9 }), ["1", "2"]);
     });
 
     it("uses a link only if the node's share of it is free, unless the request must not wait", () => {
         const candidates = [createCandidate("1", 0, 40), createCandidate("2", 40, 80, { dataCentre: "b" })];
         const getPipeWait = (from: string, to: string) => from === "a" && to === "b" ? 100 : 0;
-        assert.deepEqual(choose(candidates, { mayOverfill: false }), ["1", "2"]);
-        assert.equal(choose(candidates, { mayOverfill: false, getPipeWait }), undefined);
-        assert.deepEqual(choose(candidates, { getPipeWait }), ["1", "2"]);
+        assert.deepEqual(choose(candidates, { mayOvercommit: false }), ["1", "2"]);
+        assert.equal(choose(candidates, { mayOvercommit: false, getLinkWait: getPipeWait }), undefined);
+        assert.deepEqual(choose(candidates, { getLinkWait: getPipeWait }), ["1", "2"]);
         const inOtherCentre = [...candidates, createCandidate("3", 0, 40, { dataCentre: "b" })];
-        assert.deepEqual(choose(inOtherCentre, { mayOverfill: false, getPipeWait }), ["3", "2"]);
+        assert.deepEqual(choose(inOtherCentre, { mayOvercommit: false, getLinkWait: getPipeWait }), ["3", "2"]);
     });
 
     it("avoids a link between data centres that has become slow", () => {
--- a/tests/request/relay/documentRelay.test.ts
+++ b/tests/request/relay/documentRelay.test.ts
@@ -15,16 +15,16 @@
     it("sends a non-idempotent request to another endpoint if the first one accepts no connection", async () => {
         const bench = start(RequestKind.NonIdempotent);
         await bench.clock.advance(90);
-        assert.equal(bench.sendings.length, 2);
-        assert.ok(bench.sendings[0]!.isAborted);
-        assert.notEqual(bench.sendings[1]!.address, bench.sendings[0]!.address);
+        assert.equal(bench.sentRequests.length, 2);
+        assert.ok(bench.sentRequests[0]!.isAborted);
+        assert.notEqual(bench.sentRequests[1]!.address, bench.sentRequests[0]!.address);
     });
 
     it("doesn't resend a non-idempotent request of which a byte was sent, and answers that it may have run", async () => {
         const bench = start(RequestKind.NonIdempotent);
-        bench.sendings[0]!.sentAt = 0;
+        bench.sentRequests[0]!.sentAt = 0;
         await bench.clock.advance(1_100);
-        assert.equal(bench.sendings.length, 1);
+        assert.equal(bench.sentRequests.length, 1);
         assert.deepEqual(bench.answers, ["timedOut"]);
     });
 
--- a/tests/request/relay/pipeShares.test.ts
+++ b/tests/request/relay/linkPacer.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { getTransferTime } from "../../../src/request/relay/getTransferTime.ts";
-import { PipeShares } from "../../../src/request/relay/pipeShares.ts";
+import { LinkPacer } from "../../../src/request/relay/linkPacer.ts";
 import { createSeededRandom } from "../../support/createSeededRandom.ts";
 import { relayModel } from "./relayModel.ts";
 
@@ -11,10 +11,10 @@
 
 describe("PipeShares", () => {
     it("delays a request behind earlier ones on the same link in the same direction", () => {
-        const shares = PipeShares.create(() => 1);
-        shares.take("a", "b", relayModel, tokens, 0);
+        const shares = LinkPacer.create(() => 1);
+        shares.reserve("a", "b", relayModel, tokens, 0);
         assert.equal(shares.getWait("a", "b", 0), 0);
-        shares.take("a", "b", relayModel, tokens, 0);
+        shares.reserve("a", "b", relayModel, tokens, 0);
         assert.ok(shares.getWait("a", "b", 0) >= transferTime);
         assert.equal(shares.getWait("b", "a", 0), 0);
         assert.equal(shares.getWait("a", "c", 0), 0);
@@ -22,9 +22,9 @@
     });
 
     it("gives each node a smaller share if there are more nodes", () => {
-        const shares = PipeShares.create(() => 1 / nodeCount);
-        shares.take("a", "b", relayModel, tokens, 0);
-        shares.take("a", "b", relayModel, tokens, 0);
+        const shares = LinkPacer.create(() => 1 / nodeCount);
+        shares.reserve("a", "b", relayModel, tokens, 0);
+        shares.reserve("a", "b", relayModel, tokens, 0);
         assert.ok(shares.getWait("a", "b", 0) >= nodeCount * transferTime);
     });
 
@@ -54,12 +54,12 @@
  */
 function simulateLink(load: number): { started: number; late: number; } {
     const random = createSeededRandom(3);
-    const nodes = Array.from({ length: nodeCount }, () => PipeShares.create(() => 1 / nodeCount));
+    const nodes = Array.from({ length: nodeCount }, () => LinkPacer.create(() => 1 / nodeCount));
     const patience = 30 * transferTime;
     const longestWait = 20 * transferTime;
     const end = 1_000 * transferTime;
     const step = transferTime / 4;
-    let waiting: { node: PipeShares; until: number; }[] = [];
+    let waiting: { node: LinkPacer; until: number; }[] = [];
     let linkFreeAt = 0;
     let started = 0;
     let late = 0;
@@ -73,7 +73,7 @@
                 stillWaiting.push(request);
                 continue;
             }
-            request.node.take("a", "b", relayModel, tokens, now);
+            request.node.reserve("a", "b", relayModel, tokens, now);
             linkFreeAt = Math.max(linkFreeAt, now) + transferTime;
             started += 1;
             late += linkFreeAt - now > longestWait ? 1 : 0;
--- a/tests/request/relay/quarantine/requestQuarantine.test.ts
+++ b/tests/request/relay/quarantine/requestQuarantine.test.ts
@@ -13,10 +13,10 @@
     const quarantine = RequestQuarantine.create({
         log,
         getAliveTime: endpointId => aliveTimes.get(endpointId) ?? -Infinity,
-        onEnded: isHeldBack => heldCount += Number(isHeldBack),
+        onCrash: isHeldBack => heldCount += Number(isHeldBack),
     });
     const crash = (fingerprint: string, endpointId: string, at: number) =>
-        quarantine.noteEnded({ fingerprint, endpointId, at }, "request");
+        quarantine.noteCrash({ fingerprint, endpointId, at }, "request");
     return { quarantine, crash, log, aliveTimes, getHeld: () => heldCount };
 }
 
@@ -57,20 +57,20 @@
     it("never suspects a request that an endpoint has run without crashing", () => {
         const { quarantine, crash } = createBench();
         crash("r", "1", 0);
-        quarantine.noteServed("r");
+        quarantine.markSafe("r");
         crash("r", "2", 1);
         crash("r", "3", 2);
-        quarantine.takeRun({ fingerprint: "r", endpointId: "4", at: 3 });
+        quarantine.addPeerCrash({ fingerprint: "r", endpointId: "4", at: 3 });
         assert.equal(quarantine.getHold("r", 4), undefined);
-        assert.deepEqual(quarantine.getRuns(4), []);
+        assert.deepEqual(quarantine.getCrashes(4), []);
     });
 
     it("counts crashes reported by different nodes", () => {
         const first = createBench();
         const second = createBench();
         first.crash("harmful", "1", 0);
-        for (const run of first.quarantine.getRuns(100)) {
-            second.quarantine.takeRun(run);
+        for (const run of first.quarantine.getCrashes(100)) {
+            second.quarantine.addPeerCrash(run);
         }
         second.crash("harmful", "2", 200);
         assert.ok(second.quarantine.getHold("harmful", 201) !== undefined);
@@ -82,9 +82,9 @@
             crash(fingerprint, "1", 0);
         }
         crash("b", "2", 0);
-        assert.equal(quarantine.getRuns(10).length, 4);
-        assert.deepEqual(quarantine.getRuns(6_000).map(({ fingerprint }) => fingerprint), ["b", "b"]);
-        assert.deepEqual(quarantine.getRuns(2 * minute), []);
+        assert.equal(quarantine.getCrashes(10).length, 4);
+        assert.deepEqual(quarantine.getCrashes(6_000).map(({ fingerprint }) => fingerprint), ["b", "b"]);
+        assert.deepEqual(quarantine.getCrashes(2 * minute), []);
     });
 
     it("logs the crashes that this node detects", () => {
--- a/tests/request/relay/quarantine/taskQuarantine.test.ts
+++ b/tests/request/relay/quarantine/taskQuarantine.test.ts
@@ -31,13 +31,13 @@
 
 /** Lets the latest attempt run for some time, then crashes its endpoint. */
 async function crashEndpoint(bench: RelayBench, milliseconds = runMilliseconds): Promise<void> {
-    const { listener } = bench.sendings.at(-1)!;
+    const { listener } = bench.sentRequests.at(-1)!;
     await bench.clock.advance(milliseconds);
     listener.onFailure(broken);
 }
 
 function sendEvent(bench: RelayBench, id: number): void {
-    bench.sendings.at(-1)!.listener.onData(Buffer.from(`id: ${id}\ndata: x\n\n`));
+    bench.sentRequests.at(-1)!.listener.onData(Buffer.from(`id: ${id}\ndata: x\n\n`));
 }
 
 describe("A request whose endpoints crash", () => {
@@ -45,24 +45,24 @@
         const bench = createBench();
         startStream(bench);
         await crashEndpoint(bench);
-        assert.equal(bench.sendings.length, 2);
+        assert.equal(bench.sentRequests.length, 2);
         await crashEndpoint(bench);
-        assert.equal(bench.sendings.length, 2);
+        assert.equal(bench.sentRequests.length, 2);
         startStream(bench);
-        assert.equal(bench.sendings.length, 2);
+        assert.equal(bench.sentRequests.length, 2);
         assert.deepEqual(bench.answers, ["outcomeUnknown", "heldBack"]);
     });
 
     it("continues on other chains if a chain has run it for some time before", async () => {
         const bench = createBench();
         startStream(bench);
-        bench.sendings[0]!.listener.onHead(200, headers);
+        bench.sentRequests[0]!.listener.onHead(200, headers);
         sendEvent(bench, 1);
         await bench.clock.advance(300);
         sendEvent(bench, 2);
         for (const count of [2, 3, 4]) {
             await crashEndpoint(bench);
-            assert.equal(bench.sendings.length, count);
+            assert.equal(bench.sentRequests.length, count);
         }
     });
 
@@ -71,7 +71,7 @@
         startStream(bench);
         for (const count of [2, 3, 4]) {
             await crashEndpoint(bench, 1);
-            assert.equal(bench.sendings.length, count);
+            assert.equal(bench.sentRequests.length, count);
         }
     });
 
@@ -82,11 +82,11 @@
         }
         startStream(bench);
         for (const endpointId of ["5", "6"]) {
-            bench.environment.quarantine.takeRun({ fingerprint: "fingerprint", endpointId, at: 0 });
+            bench.environment.quarantine.addPeerCrash({ fingerprint: "fingerprint", endpointId, at: 0 });
         }
         assert.deepEqual(bench.answers, []);
         await bench.clock.advance(400);
-        assert.equal(bench.sendings.length, 0);
+        assert.equal(bench.sentRequests.length, 0);
         assert.deepEqual(bench.answers, ["heldBack"]);
     });
 
@@ -95,7 +95,7 @@
         const relay = startStream(bench);
         await bench.clock.advance(runMilliseconds);
         relay.noteLost(new Set([relay.getStages()![0]!.endpoint.id, "no part of the chain"]));
-        bench.environment.quarantine.takeRun({ fingerprint: "fingerprint", endpointId: "5", at: 0 });
+        bench.environment.quarantine.addPeerCrash({ fingerprint: "fingerprint", endpointId: "5", at: 0 });
         assert.equal(relay.chooseReroute(new Set()), undefined);
     });
 
@@ -106,9 +106,9 @@
         start();
         await crashEndpoint(bench, 20);
         await crashEndpoint(bench, 20);
-        assert.equal(bench.sendings.length, 2);
+        assert.equal(bench.sentRequests.length, 2);
         start();
-        assert.equal(bench.sendings.length, 2);
+        assert.equal(bench.sentRequests.length, 2);
         assert.deepEqual(bench.answers, ["outcomeUnknown", "heldBack"]);
     });
 
@@ -117,10 +117,10 @@
         const start = () =>
             DocumentRelay.start(bench.environment, createTask(bench, RequestKind.Idempotent), () => undefined);
         start();
-        bench.sendings[0]!.listener.onHead(500, headers);
-        bench.sendings[0]!.listener.onEnd();
+        bench.sentRequests[0]!.listener.onHead(500, headers);
+        bench.sentRequests[0]!.listener.onEnd();
         await crashEndpoint(bench, 20);
         await crashEndpoint(bench, 20);
-        assert.equal(bench.sendings.length, 4);
+        assert.equal(bench.sentRequests.length, 4);
     });
 });
--- a/tests/request/relay/refusalWatch.test.ts
+++ b/tests/request/relay/refusalDetector.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { EndpointHealth } from "../../../src/request/relay/endpointHealth.ts";
 import type { EndpointReport } from "../../../src/request/relay/endpointReport.ts";
-import { RefusalWatch } from "../../../src/request/relay/refusalWatch.ts";
+import { RefusalDetector } from "../../../src/request/relay/refusalDetector.ts";
 import { createSeededRandom } from "../../support/createSeededRandom.ts";
 import { FakeClock } from "../../support/fakeClock.ts";
 import { RecordingEventLog } from "../../support/recordingEventLog.ts";
@@ -28,7 +28,7 @@
     const clock = FakeClock.create();
     const reports = [report, later];
     let found = 0;
-    const watch = RefusalWatch.create({
+    const watch = RefusalDetector.create({
         health,
         clock,
         log: RecordingEventLog.create(),
@@ -77,7 +77,7 @@
     const clock = FakeClock.create();
     const nodes = Array.from({ length: 65 }, () => {
         const node = { health: EndpointHealth.create(random), hasNews: false };
-        const watch = RefusalWatch.create({
+        const watch = RefusalDetector.create({
             health: node.health,
             clock,
             log: RecordingEventLog.create(),
--- a/tests/request/relay/relayBench.ts
+++ b/tests/request/relay/relayBench.ts
@@ -8,8 +8,8 @@
 import { FirstEventTimes } from "../../../src/request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../../src/request/relay/limits/endpointLimits.ts";
 import { LinkDelays } from "../../../src/request/relay/linkDelays.ts";
-import { PipeLoad } from "../../../src/request/relay/pipeLoad.ts";
-import { PipeShares } from "../../../src/request/relay/pipeShares.ts";
+import { LinkPacer } from "../../../src/request/relay/linkPacer.ts";
+import { LinkTraffic } from "../../../src/request/relay/linkTraffic.ts";
 import { RequestQuarantine } from "../../../src/request/relay/quarantine/requestQuarantine.ts";
 import type { RegisteredEndpoint } from "../../../src/request/relay/registeredEndpoint.ts";
 import type { RelayEnvironment } from "../../../src/request/relay/relayEnvironment.ts";
@@ -32,7 +32,7 @@
 /** Relay dependencies with fake connections that a test controls. */
 export class RelayBench {
     readonly clock = FakeClock.create();
-    readonly sendings: SentRequest[] = [];
+    readonly sentRequests: SentRequest[] = [];
     /** Final answers to the caller, such as `notRun` or `200`. */
     readonly answers: string[] = [];
     readonly environment: RelayEnvironment;
@@ -73,13 +73,13 @@
                 log,
                 getAliveTime: endpointId => health.getLastAliveTime(endpointId),
             }),
-            repeats: RetryBudget.create(0),
+            retryBudget: RetryBudget.create(0),
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines: UsualDeadlines.create(),
-            crossings: LinkDelays.create(),
-            pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => 1),
+            crossingDelays: LinkDelays.create(),
+            linkTraffic: LinkTraffic.create(),
+            linkPacer: LinkPacer.create(() => 1),
             getNodeCount: () => 1,
         };
     }
@@ -142,7 +142,7 @@
 
     private send(address: string, listener: UpstreamListener) {
         const sentRequest: SentRequest = { address, listener, sentAt: undefined, isAborted: false };
-        this.sendings.push(sentRequest);
+        this.sentRequests.push(sentRequest);
         return {
             abort: () => {
                 sentRequest.isAborted = true;
--- a/tests/request/relay/relayModel.ts
+++ b/tests/request/relay/relayModel.ts
@@ -13,12 +13,12 @@
     promptTokens: 800,
     answerTokens: 200,
     dataCentre: "a",
-    pipeUse: 0,
-    mayOverfill: false,
-    sparePart: 0,
+    linkUtilization: 0,
+    mayOvercommit: false,
+    spareFraction: 0,
     isConnected: () => true,
     getCrossingDelay: () => 0,
-    getPipeWait: () => 0,
+    getLinkWait: () => 0,
 };
 
 /** Creates an endpoint of the model. */
--- a/tests/request/relay/relayQueue.test.ts
+++ b/tests/request/relay/relayQueue.test.ts
@@ -38,7 +38,7 @@
             start: () => log.push(`start ${name}`),
             refuse: () => log.push(`refuse ${name}`),
         };
-        queue.ask(relay);
+        queue.submit(relay);
         return relay;
     };
     return { clock, queue, log, waits, room, ask };
@@ -69,10 +69,10 @@
         const { clock, queue, log, ask } = createBench();
         ask("first");
         queue.remove(ask("second"));
-        assert.ok(queue.isBusy());
+        assert.ok(queue.isContended());
         await clock.advance(1_100);
         assert.deepEqual(log, ["refuse first"]);
         await clock.advance(10_000);
-        assert.ok(!queue.isBusy());
+        assert.ok(!queue.isContended());
     });
 });
--- a/tests/request/relay/streamProgress.test.ts
+++ b/tests/request/relay/streamProgress.test.ts
@@ -7,7 +7,7 @@
 describe("StreamProgress", () => {
     it("passes only events with increasing ids, and detects a missing one", () => {
         const progress = StreamProgress.create(3);
-        const verdicts = [3, 4, 5, 4, undefined, 7, 6].map(id => progress.take(id, 0));
+        const verdicts = [3, 4, 5, 4, undefined, 7, 6].map(id => progress.accept(id, 0));
         const { Pass, Repeat, Gap } = EventVerdict;
         assert.deepEqual(verdicts, [Repeat, Pass, Pass, Repeat, Pass, Gap, Pass]);
         assert.equal(progress.getLastId(), 6);
@@ -15,13 +15,13 @@
 
     it("allows gaps between ids if there were gaps before", () => {
         const progress = StreamProgress.create(0);
-        assert.deepEqual([5, 10, 20].map(id => progress.take(id, 0)), ["pass", "pass", "pass"]);
+        assert.deepEqual([5, 10, 20].map(id => progress.accept(id, 0)), ["pass", "pass", "pass"]);
     });
 
     it("measures the time of the first event and the longest gap", () => {
         const progress = StreamProgress.create(0);
         for (const [id, now] of [[1, 100], [2, 150], [3, 400], [4, 420]] as const) {
-            progress.take(id, now);
+            progress.accept(id, now);
         }
         assert.equal(progress.getFirstTime(), 100);
         assert.equal(progress.getLongestGap(), 250);
@@ -36,7 +36,7 @@
                 // An attempt resumes after the last event, or some events earlier.
                 const first = Math.max(0, progress.getLastId() - skipped) + 1;
                 for (let id = first; id < first + length; id++) {
-                    if (progress.take(id, 0) === EventVerdict.Pass) {
+                    if (progress.accept(id, 0) === EventVerdict.Pass) {
                         passed.push(id);
                     }
                 }
--- a/tests/request/relay/streamRelay.test.ts
+++ b/tests/request/relay/streamRelay.test.ts
@@ -21,7 +21,7 @@
     it("retries on another chain if its first stage is abandoned before a byte was sent, even if it is not resumable", () => {
         const { bench, relay } = start(["1", "2"]);
         relay.abandonChain([relay.getStages()![0]!.endpoint.id], "the first stage does not answer.");
-        assert.equal(bench.sendings.length, 2);
+        assert.equal(bench.sentRequests.length, 2);
         assert.deepEqual(bench.answers, []);
     });
 
@@ -33,7 +33,7 @@
 
     it("reports an unknown outcome if bytes of the request were sent", () => {
         const { bench, relay } = start(["1", "2"]);
-        bench.sendings[0]!.sentAt = 0;
+        bench.sentRequests[0]!.sentAt = 0;
         relay.abandonChain(["1", "2"], "the first stage does not answer.");
         assert.deepEqual(bench.answers, ["outcomeUnknown"]);
     });
@@ -48,7 +48,7 @@
     // failures ("the endpoint answered 200." in FL1711) and forwarded them, and 16 callers got status 200 with a complete answer.
     it("never forwards a success without a signature", () => {
         const { bench } = start(["1"]);
-        const { listener } = bench.sendings[0]!;
+        const { listener } = bench.sentRequests[0]!;
         listener.onHead(200, { "request-id": "request" });
         listener.onData(Buffer.from("id: 1\ndata: x\n\n"));
         listener.onEnd();
