--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../../src/process/clock.ts";
 import type { RandomSource } from "../../src/process/randomSource.ts";
 import { RetryBudget } from "../../src/request/admission/retryBudget.ts";
-import { UsualDeadlines } from "../../src/request/admission/start/usualDeadlines.ts";
+import { RetryDetector } from "../../src/request/admission/start/retryDetector.ts";
 import { EndpointHealth } from "../../src/request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../src/request/relay/endpointLoads.ts";
 import { FirstEventTimes } from "../../src/request/relay/firstEventTimes.ts";
@@ -46,7 +46,7 @@
         const log = { write: () => undefined };
         const queue = RelayQueue.create({ clock, random, log });
         const loads = EndpointLoads.create(() => queue.wake());
-        const deadlines = UsualDeadlines.create();
+        const deadlines = RetryDetector.create();
         const health = EndpointHealth.create();
         const quarantine = RequestQuarantine.create({
             log,
@@ -115,7 +115,7 @@
         }
     }
 
-    private switchOffMechanisms(loads: EndpointLoads, deadlines: UsualDeadlines, queue: RelayQueue): void {
+    private switchOffMechanisms(loads: EndpointLoads, deadlines: RetryDetector, queue: RelayQueue): void {
         if (this.without.has(Mechanism.Room)) {
             loads.getAvailableMemory = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
         }
@@ -123,7 +123,7 @@
             loads.markFull = (endpointId, now) => this.environment.health.markUnavailable(endpointId, now);
         }
         if (this.without.has(Mechanism.Returns)) {
-            deadlines.note = () => false;
+            deadlines.observeRequest = () => false;
         }
         if (this.without.has(Mechanism.Timeliness)) {
             const { submit: ask } = queue;
--- a/src/process/router/requestRouter.ts
+++ b/src/process/router/requestRouter.ts
@@ -71,7 +71,7 @@
             + Math.min(route.timeoutMilliseconds, request.deadlineMilliseconds ?? Infinity);
         const rank = state.getCustomerRank(customer) ?? route.priority;
         const { deadlines, clock } = this.options.environment;
-        const isReturn = deadlines.note(route.name, request.deadlineMilliseconds, clock.getMonotonicTime());
+        const isReturn = deadlines.observeRequest(route.name, request.deadlineMilliseconds, clock.getMonotonicTime());
         const fingerprint = fingerprintRequest(request, customer);
         const takenUpLateMilliseconds = this.options.loop.getLateness();
         this.relay({
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -1,7 +1,7 @@
 import { FramedServer } from "../../connection/peer/framed/framedServer.ts";
 import { UpstreamPools } from "../../connection/upstream/upstreamPools.ts";
 import { RetryBudget } from "../../request/admission/retryBudget.ts";
-import { UsualDeadlines } from "../../request/admission/start/usualDeadlines.ts";
+import { RetryDetector } from "../../request/admission/start/retryDetector.ts";
 import type { AnswerSink } from "../../request/relay/answerSink.ts";
 import { EndpointHealth } from "../../request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../request/relay/endpointLoads.ts";
@@ -230,7 +230,7 @@
             quarantine,
             queue,
             firstEvents: FirstEventTimes.create(),
-            deadlines: UsualDeadlines.create(),
+            deadlines: RetryDetector.create(),
             crossingDelays: LinkDelays.create(),
             linkTraffic: LinkTraffic.create(),
             linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), this.getNodeCount())),
--- a/src/request/admission/admission.ts
+++ b/src/request/admission/admission.ts
@@ -119,7 +119,7 @@
         const refusal = gate.getWaitRefusal(request, this.maximumWait, now)
             ?? this.getQueueRefusal(gate, request, now);
         if (refusal !== undefined) {
-            this.options.customerLimits?.giveBackRequest(request.customer);
+            this.options.customerLimits?.refundRequest(request.customer);
         }
         return refusal;
     }
@@ -168,7 +168,7 @@
                 gate.createWaitRefusal(waiter.request, this.maximumWait, clock.getMonotonicTime()),
             );
         });
-        waiter.watch(timer, () => this.removeAndRefuse(waiter, createCancelledRefusal()));
+        waiter.setCancellation(timer, () => this.removeAndRefuse(waiter, createCancelledRefusal()));
     }
 
     private removeAndRefuse(waiter: Waiter, refusal: Refusal): void {
@@ -178,7 +178,7 @@
     }
 
     private refuseWaiter(waiter: Waiter, refusal: Refusal): void {
-        this.options.customerLimits?.giveBackRequest(waiter.request.customer);
+        this.options.customerLimits?.refundRequest(waiter.request.customer);
         waiter.refuse(refusal);
     }
 
--- a/src/request/admission/customerLimits.ts
+++ b/src/request/admission/customerLimits.ts
@@ -73,7 +73,7 @@
         }
         return {
             kind: RefusalKind.RateLimited,
-            retryAfterMilliseconds: rate.bookReturn(limit, peerDemand, now),
+            retryAfterMilliseconds: rate.scheduleRetry(limit, peerDemand, now),
             message:
                 `Customer "${customer}" exceeds its limit of ${limit} requests a second and the request has not run. `
                 + "Send it again after the given time, or raise requestsPerSecond in the configuration.",
@@ -81,8 +81,8 @@
     }
 
     /** Refunds a counted request that was then refused for another reason. */
-    giveBackRequest(customer: string): void {
-        this.customers.get(customer)?.rate.giveBack();
+    refundRequest(customer: string): void {
+        this.customers.get(customer)?.rate.refund();
     }
 
     /**
@@ -132,8 +132,11 @@
     private getLimitedCustomer(customer: string, limit: number, now: number): LimitedCustomer {
         let limited = this.customers.get(customer);
         if (limited === undefined || limited.limit !== limit) {
-            const memoryMilliseconds = getTimeConstantMilliseconds(limit);
-            limited = { limit, rate: SharedRate.create({ memoryMilliseconds, random: this.options.random, now }) };
+            const timeConstantMilliseconds = getTimeConstantMilliseconds(limit);
+            limited = {
+                limit,
+                rate: SharedRate.create({ timeConstantMilliseconds, random: this.options.random, now }),
+            };
             this.customers.set(customer, limited);
         }
         return limited;
--- a/src/request/admission/customerQueue.ts
+++ b/src/request/admission/customerQueue.ts
@@ -14,7 +14,7 @@
     /** Tie-breaker between customers with the same start tag. */
     sequence = 0;
     /** Whether the queue is in the heap of the fair queue. */
-    isListed = false;
+    isInHeap = false;
     /** Total cost of the waiting entries, in tokens. */
     waitingCost = 0;
     /** Number of waiting entries. */
--- a/src/request/admission/fairQueue.ts
+++ b/src/request/admission/fairQueue.ts
@@ -68,7 +68,7 @@
         this.totalCount++;
         this.totalCost += entry.cost;
         this.meanCost += (entry.cost - this.meanCost) * (this.meanCost === 0 ? 1 : meanCostSmoothingFactor);
-        if (!queue.isListed) {
+        if (!queue.isInHeap) {
             queue.finishTag = Math.max(queue.finishTag, this.virtualTime);
             this.addToHeap(queue);
         }
@@ -83,7 +83,7 @@
             return undefined;
         }
         this.heap.pop();
-        queue.isListed = false;
+        queue.isInHeap = false;
         this.takeEntry(queue, entry);
         return entry;
     }
@@ -162,7 +162,7 @@
                 return queue;
             }
             this.heap.pop();
-            queue.isListed = false;
+            queue.isInHeap = false;
         }
         return undefined;
     }
@@ -193,7 +193,7 @@
     private addToHeap(queue: CustomerQueue<T>): void {
         queue.startTag = this.getStartTag(queue.finishTag, queue.weight);
         queue.sequence = this.nextSequence++;
-        queue.isListed = true;
+        queue.isInHeap = true;
         this.heap.push(queue);
     }
 
@@ -220,7 +220,7 @@
             return;
         }
         for (const [customer, queue] of this.customers) {
-            if (!queue.isListed && queue.finishTag <= this.virtualTime) {
+            if (!queue.isInHeap && queue.finishTag <= this.virtualTime) {
                 this.customers.delete(customer);
             }
         }
--- a/src/request/admission/returnSchedule.ts
+++ b/src/request/admission/retrySchedule.ts
@@ -16,7 +16,7 @@
     /** Drain rate, in cost a millisecond; undefined if unknown. */
     rate: number | undefined;
     /** Time to add to the retry delay. */
-    excessMilliseconds: number;
+    baseDelayMilliseconds: number;
     /** Monotonic time in milliseconds. */
     now: number;
 }
@@ -25,7 +25,7 @@
  * Calculates the retry delays of refused requests. Each retry is scheduled after the ones scheduled before it, so that
  * retries arrive at about the drain rate of the queue, with jitter.
  */
-export class ReturnSchedule {
+export class RetrySchedule {
     private scheduledCost = 0;
     private updatedAt = 0;
     private readonly random: RandomSource;
@@ -38,24 +38,24 @@
      * Creates an empty schedule.
      * @param random - Source of the jitter.
      */
-    static create(random: RandomSource): ReturnSchedule {
-        return new ReturnSchedule(random);
+    static create(random: RandomSource): RetrySchedule {
+        return new RetrySchedule(random);
     }
 
     /**
      * Schedules a retry.
      * @returns The retry delay in milliseconds.
      */
-    book(options: RetryOptions): number {
+    schedule(options: RetryOptions): number {
         const jitter = 0.75 + 0.5 * this.random();
-        const { cost, rate, excessMilliseconds, now } = options;
+        const { cost, rate, baseDelayMilliseconds, now } = options;
         if (rate === undefined || rate <= 0) {
-            return minimumRetryMilliseconds + excessMilliseconds + jitter * defaultSpreadMilliseconds;
+            return minimumRetryMilliseconds + baseDelayMilliseconds + jitter * defaultSpreadMilliseconds;
         }
         const drainedCost = (now - this.updatedAt) * rate;
         this.updatedAt = now;
         const maximumCost = maximumSpreadMilliseconds * rate;
         this.scheduledCost = Math.min(maximumCost, Math.max(0, this.scheduledCost - drainedCost) + cost);
-        return minimumRetryMilliseconds + excessMilliseconds + jitter * this.scheduledCost / rate;
+        return minimumRetryMilliseconds + baseDelayMilliseconds + jitter * this.scheduledCost / rate;
     }
 }
--- a/src/request/admission/serviceGate.ts
+++ b/src/request/admission/serviceGate.ts
@@ -5,7 +5,7 @@
 import { FairQueue } from "./fairQueue.ts";
 import type { Refusal } from "./refusal.ts";
 import { RefusalKind } from "./refusalKind.ts";
-import { ReturnSchedule } from "./returnSchedule.ts";
+import { RetrySchedule } from "./retrySchedule.ts";
 
 /** Fraction of the allowed wait up to which a request is queued: estimates are inexact, and a late refusal is of no use. */
 const maximumQueuedWaitFraction = 0.8;
@@ -37,7 +37,7 @@
  */
 export class ServiceGate<T> {
     readonly queue = FairQueue.create<T>();
-    private readonly retrySchedule: ReturnSchedule;
+    private readonly retrySchedule: RetrySchedule;
     private readonly getUpperLimit: () => number;
     private readonly adaptiveLimit = AdaptiveLimit.create();
     private readonly drainRate = DrainRate.create();
@@ -46,7 +46,7 @@
 
     private constructor(getUpperLimit: () => number, random: RandomSource) {
         this.getUpperLimit = getUpperLimit;
-        this.retrySchedule = ReturnSchedule.create(random);
+        this.retrySchedule = RetrySchedule.create(random);
     }
 
     /**
@@ -193,8 +193,10 @@
 
     private scheduleRetry(request: AdmissionRequest, maximum: number, now: number): number {
         const rate = this.getDrainRate();
-        const excessMilliseconds = rate ? Math.max(0, this.queue.waitingCost / rate - maximum * retryWaitFraction) : 0;
-        return this.retrySchedule.book({ cost: request.cost, rate, excessMilliseconds, now });
+        const baseDelayMilliseconds = rate
+            ? Math.max(0, this.queue.waitingCost / rate - maximum * retryWaitFraction)
+            : 0;
+        return this.retrySchedule.schedule({ cost: request.cost, rate, baseDelayMilliseconds, now });
     }
 
     /** Gets the drain rate of the queue, in tokens a millisecond; undefined before the first run has ended. */
--- a/src/request/admission/sharedRate.ts
+++ b/src/request/admission/sharedRate.ts
@@ -1,11 +1,11 @@
 import type { RandomSource } from "../../process/randomSource.ts";
-import { ReturnSchedule } from "./returnSchedule.ts";
+import { RetrySchedule } from "./retrySchedule.ts";
 import { SmoothedRate } from "./smoothedRate.ts";
 
 /** Options of a {@link SharedRate}. */
 interface SharedRateOptions {
     /** Time constant of the moving average of the demand. */
-    memoryMilliseconds: number;
+    timeConstantMilliseconds: number;
     /** Source of the initial credit and of the jitter of the retry delays. */
     random: RandomSource;
     /** Monotonic time in milliseconds. */
@@ -20,13 +20,13 @@
  */
 export class SharedRate {
     private readonly arrivals: SmoothedRate;
-    private readonly retrySchedule: ReturnSchedule;
+    private readonly retrySchedule: RetrySchedule;
     /** Credit in requests; starts at a random value so that the nodes don't all admit their first requests at the same time. */
     private credit: number;
 
-    private constructor({ memoryMilliseconds, random, now }: SharedRateOptions) {
-        this.arrivals = SmoothedRate.create(memoryMilliseconds, now);
-        this.retrySchedule = ReturnSchedule.create(random);
+    private constructor({ timeConstantMilliseconds, random, now }: SharedRateOptions) {
+        this.arrivals = SmoothedRate.create(timeConstantMilliseconds, now);
+        this.retrySchedule = RetrySchedule.create(random);
         this.credit = random();
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Refunds the credit of a request that was admitted and then refused for another reason. */
-    giveBack(): void {
+    refund(): void {
         this.credit = Math.min(1, this.credit + 1);
     }
 
@@ -71,9 +71,9 @@
      * @param peerDemand - Rate of arrivals at the other nodes, in requests a second.
      * @param now - Monotonic time in milliseconds.
      */
-    bookReturn(limit: number, peerDemand: number, now: number): number {
+    scheduleRetry(limit: number, peerDemand: number, now: number): number {
         const admittedPerSecond = this.getDemand(now) * this.getAdmittedFraction(limit, peerDemand, now);
-        return this.retrySchedule.book({ cost: 1, rate: admittedPerSecond / 1000, excessMilliseconds: 0, now });
+        return this.retrySchedule.schedule({ cost: 1, rate: admittedPerSecond / 1000, baseDelayMilliseconds: 0, now });
     }
 
     private getAdmittedFraction(limit: number, peerDemand: number, now: number): number {
--- a/src/request/admission/start/usualDeadlines.ts
+++ b/src/request/admission/start/retryDetector.ts
@@ -21,19 +21,19 @@
  * Distinguishes retries from new requests by their deadlines: a caller sends the time that it has left, and after a refusal it
  * has less left than callers of its route typically have. The typical deadlines are learned while no requests are refused.
  */
-export class UsualDeadlines {
+export class RetryDetector {
     private readonly routes = new LRUCache<string, RouteDeadlines>({ max: maximumRoutes });
     private refusedAt = -Infinity;
 
     private constructor() {}
 
     /** Creates an instance without observed deadlines. */
-    static create(): UsualDeadlines {
-        return new UsualDeadlines();
+    static create(): RetryDetector {
+        return new RetryDetector();
     }
 
     /** Records that a caller was refused and may retry. */
-    noteRefusal(now: number): void {
+    observeRefusal(now: number): void {
         this.refusedAt = now;
     }
 
@@ -43,7 +43,7 @@
      * @param deadlineMilliseconds - Time that the caller will wait for the answer; undefined if it sent none.
      * @param now - Monotonic time in milliseconds.
      */
-    note(route: string, deadlineMilliseconds: number | undefined, now: number): boolean {
+    observeRequest(route: string, deadlineMilliseconds: number | undefined, now: number): boolean {
         if (deadlineMilliseconds === undefined) {
             return false;
         }
--- a/src/request/admission/start/startLine.ts
+++ b/src/request/admission/start/startQueue.ts
@@ -1,6 +1,6 @@
 import type { RandomSource } from "../../../process/randomSource.ts";
 import { DrainRate } from "../drainRate.ts";
-import { ReturnSchedule } from "../returnSchedule.ts";
+import { RetrySchedule } from "../retrySchedule.ts";
 import { SmoothedRate } from "../smoothedRate.ts";
 import type { StartDecision } from "./startDecision.ts";
 import type { StartRequest } from "./startRequest.ts";
@@ -48,16 +48,16 @@
  *
  * It reads no clock and does no I/O. Times are monotonic, in milliseconds.
  */
-export class StartLine<Place> {
+export class StartQueue<Place> {
     private readonly drainRate = DrainRate.create();
     private readonly onTimeArrivals: SmoothedRate;
-    private readonly retrySchedule: ReturnSchedule;
+    private readonly retrySchedule: RetrySchedule;
     private readonly grantedRates = new Map<string, SmoothedRate>();
     private waiting: WaitingRequest<Place>[] = [];
     private running = 0;
 
     private constructor(random: RandomSource, now: number) {
-        this.retrySchedule = ReturnSchedule.create(random);
+        this.retrySchedule = RetrySchedule.create(random);
         this.onTimeArrivals = SmoothedRate.create(timeConstantMilliseconds, now);
     }
 
@@ -66,8 +66,8 @@
      * @param random - Source of the jitter of the retry delays.
      * @param now - Monotonic time in milliseconds.
      */
-    static create<Place>(random: RandomSource, now: number): StartLine<Place> {
-        return new StartLine(random, now);
+    static create<Place>(random: RandomSource, now: number): StartQueue<Place> {
+        return new StartQueue(random, now);
     }
 
     /** Gets the number of waiting requests. */
@@ -96,12 +96,12 @@
             return {
                 kind: "refuse",
                 cause: "the available endpoints together do not hold the whole model.",
-                retryAfterMilliseconds: Math.min(unservableRetryMilliseconds, request.longestReturnMilliseconds),
+                retryAfterMilliseconds: Math.min(unservableRetryMilliseconds, request.maximumRetryMilliseconds),
             };
         }
-        const limitRetryMilliseconds = request.getLimitReturn();
+        const limitRetryMilliseconds = request.getLimitRetryMilliseconds();
         if (limitRetryMilliseconds !== undefined) {
-            const retryAfterMilliseconds = Math.min(limitRetryMilliseconds, request.longestReturnMilliseconds);
+            const retryAfterMilliseconds = Math.min(limitRetryMilliseconds, request.maximumRetryMilliseconds);
             return { kind: "refuse", cause: "its endpoints limit what they take.", retryAfterMilliseconds };
         }
         const expectedMilliseconds = this.getExpectedWait(request, ahead, now);
@@ -133,7 +133,7 @@
             }
             smallestUnplacedCost = isBlocked ? smallestUnplacedCost : Math.min(smallestUnplacedCost, request.cost);
             if (
-                now >= request.waitsUntil || !isOnTime(request, now) && !this.canServeLate(request, stillWaiting, now)
+                now >= request.latestStart || !isOnTime(request, now) && !this.canServeLate(request, stillWaiting, now)
             ) {
                 reviewed.push({
                     request,
@@ -151,7 +151,7 @@
     getNextReview(now: number): number | undefined {
         let next: number | undefined;
         for (const { request } of this.waiting) {
-            const at = isOnTime(request, now) ? request.timelyUntil : request.waitsUntil;
+            const at = isOnTime(request, now) ? request.latestOnTimeStart : request.latestStart;
             next = Math.min(next ?? Infinity, at);
         }
         return next;
@@ -168,7 +168,7 @@
      * @param heldMilliseconds - Time for which it held the capacity; undefined if it did not run.
      * @param now - Monotonic time in milliseconds.
      */
-    noteEnd(cost: number, heldMilliseconds: number | undefined, now: number): void {
+    recordEnd(cost: number, heldMilliseconds: number | undefined, now: number): void {
         this.running -= 1;
         if (heldMilliseconds !== undefined) {
             this.drainRate.observe(cost, heldMilliseconds, now);
@@ -176,12 +176,12 @@
     }
 
     /** Records a request that was started without going through the queue, such as a stream that is resumed on other endpoints. */
-    noteStart(): void {
+    recordStart(): void {
         this.running += 1;
     }
 
     private tryStart(request: StartRequest<Place>, now: number, bypassed: WaitingRequest<Place>[]): Place | undefined {
-        const place = request.takePlace();
+        const place = request.tryReserve();
         if (place === undefined) {
             return undefined;
         }
@@ -198,9 +198,14 @@
         const rate = throughput
             && Math.max(throughput * minimumRetryFraction, throughput - this.getOnTimeArrivalRate(now));
         // A caller that retries before the running requests have ended would find the same load.
-        const excessMilliseconds = this.drainRate.getMeanRunMilliseconds() ?? 0;
-        const scheduledMilliseconds = this.retrySchedule.book({ cost: request.cost, rate, excessMilliseconds, now });
-        const retryAfterMilliseconds = Math.min(scheduledMilliseconds, request.longestReturnMilliseconds);
+        const baseDelayMilliseconds = this.drainRate.getMeanRunMilliseconds() ?? 0;
+        const scheduledMilliseconds = this.retrySchedule.schedule({
+            cost: request.cost,
+            rate,
+            baseDelayMilliseconds,
+            now,
+        });
+        const retryAfterMilliseconds = Math.min(scheduledMilliseconds, request.maximumRetryMilliseconds);
         return { kind: "refuse", cause, retryAfterMilliseconds };
     }
 
@@ -249,7 +254,7 @@
         const grantedDifference = left.customer === right.customer
             ? 0
             : this.getGrantedRate(left.customer, now) - this.getGrantedRate(right.customer, now);
-        return grantedDifference || left.timelyUntil - right.timelyUntil;
+        return grantedDifference || left.latestOnTimeStart - right.latestOnTimeStart;
     }
 
     private getGrantedRate(customer: string | undefined, now: number): number {
@@ -263,11 +268,12 @@
     }
 }
 
-function isOnTime({ timelyUntil }: StartRequest<unknown>, now: number): boolean {
-    return now <= timelyUntil;
+function isOnTime({ latestOnTimeStart }: StartRequest<unknown>, now: number): boolean {
+    return now <= latestOnTimeStart;
 }
 
 /** Gets how long a request may still wait, in milliseconds: until its latest start on time, or its latest start if it is late. */
 function getRemainingWait(request: StartRequest<unknown>, now: number): number {
-    return (isOnTime(request, now) ? Math.min(request.timelyUntil, request.waitsUntil) : request.waitsUntil) - now;
+    return (isOnTime(request, now) ? Math.min(request.latestOnTimeStart, request.latestStart) : request.latestStart)
+        - now;
 }
--- a/src/request/admission/start/startRequest.ts
+++ b/src/request/admission/start/startRequest.ts
@@ -6,18 +6,18 @@
     /** Expected cost: tokens of the prompt and of the answer. */
     cost: number;
     /** Latest start that still meets the latency objective, as a monotonic time in milliseconds. */
-    timelyUntil: number;
+    latestOnTimeStart: number;
     /** Latest start, on time or late, as a monotonic time in milliseconds. */
-    waitsUntil: number;
+    latestStart: number;
     /** Maximum retry delay that its caller follows, in milliseconds. */
-    longestReturnMilliseconds: number;
+    maximumRetryMilliseconds: number;
     /** Finds and reserves the capacity that it needs to run; undefined if there is not enough. */
-    takePlace(): Place | undefined;
+    tryReserve(): Place | undefined;
     /** Gets whether the endpoints could serve it if nothing else were running. */
     isServable(): boolean;
     /**
      * Gets the retry delay in milliseconds if only the rate limits that endpoints declare keep it from starting, in which case
      * waiting for capacity is useless; undefined otherwise.
      */
-    getLimitReturn(): number | undefined;
+    getLimitRetryMilliseconds(): number | undefined;
 }
--- a/src/request/admission/waiter.ts
+++ b/src/request/admission/waiter.ts
@@ -44,7 +44,7 @@
      * @param timer - Timer of the latest start.
      * @param onAbort - Called when the caller disconnects.
      */
-    watch(timer: TimerHandle, onAbort: () => void): void {
+    setCancellation(timer: TimerHandle, onAbort: () => void): void {
         this.timer = timer;
         this.onAbort = onAbort;
         this.request.signal?.addEventListener("abort", onAbort, { once: true });
--- a/src/request/document/runDocumentCall.ts
+++ b/src/request/document/runDocumentCall.ts
@@ -80,7 +80,7 @@
         parent: context.span.context,
         attributes: { endpoint },
     });
-    context.permit.giveUp();
+    context.permit.revoke();
     const timeout = AbortSignal.timeout(service.timeoutMilliseconds);
     const signal = AbortSignal.any([timeout, call.isIdempotent ? context.signal : context.stopSignal]);
     const headers = { ...call.headers, traceparent: formatTraceparent(span.context) };
--- a/src/request/model/runGeneration.ts
+++ b/src/request/model/runGeneration.ts
@@ -129,7 +129,7 @@
     private async runAttempt(chain: Chain): Promise<Result<Omit<GenerationSummary, "chain">, AttemptEnd>> {
         let stage = 0;
         let pass = this.generation.startAttempt(chain);
-        this.options.permit.giveUp();
+        this.options.permit.revoke();
         const detector = SlowStageDetector.create(chain.stages.length);
         for (;;) {
             const { endpoint } = chain.stages[stage]!;
--- a/src/request/notRunPermit.ts
+++ b/src/request/notRunPermit.ts
@@ -16,7 +16,7 @@
     }
 
     /** Revokes the permit, since bytes may reach an endpoint from now on. */
-    giveUp(): void {
+    revoke(): void {
         this.isHeld = false;
     }
 
@@ -34,7 +34,7 @@
      * Asserts that a "not run" answer is correct.
      * @throws InvariantError if the request may have run.
      */
-    use(): void {
+    assertAvailable(): void {
         if (!this.isHeld) {
             throw InvariantError.create(
                 "notRunIsTrue",
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -46,10 +46,10 @@
         rank,
         customer,
         cost: chains.getTokens(),
-        timelyUntil,
-        waitsUntil: Math.min(request.arrivedAt + maximumWaitMilliseconds, dueAt),
-        longestReturnMilliseconds: (dueAt - request.arrivedAt) * maximumRetryDelayFraction,
-        takePlace: () => {
+        latestOnTimeStart: timelyUntil,
+        latestStart: Math.min(request.arrivedAt + maximumWaitMilliseconds, dueAt),
+        maximumRetryMilliseconds: (dueAt - request.arrivedAt) * maximumRetryDelayFraction,
+        tryReserve: () => {
             const now = clock.getMonotonicTime();
             const sparePart = now > timelyUntil ? reservedFractionForTimely : 0;
             const stages = chains.chooseWithinLimits({
@@ -68,7 +68,7 @@
             return { stages, reservation: chains.reserve(stages) };
         },
         isServable: () => chains.hasChain(avoided),
-        getLimitReturn: () => chains.getLimitRetryDelay({ avoid: avoided, closed }),
+        getLimitRetryMilliseconds: () => chains.getLimitRetryDelay({ avoid: avoided, closed }),
         start,
         refuse,
     };
--- a/src/request/relay/limits/endpointLimits.ts
+++ b/src/request/relay/limits/endpointLimits.ts
@@ -2,7 +2,7 @@
 import { events } from "../../../process/logging/events.ts";
 import type { RandomSource } from "../../../process/randomSource.ts";
 import { PeerDemands } from "../../admission/peerDemands.ts";
-import { ReturnSchedule } from "../../admission/returnSchedule.ts";
+import { RetrySchedule } from "../../admission/retrySchedule.ts";
 import { SmoothedRate } from "../../admission/smoothedRate.ts";
 import type { RegisteredEndpoint } from "../registeredEndpoint.ts";
 import type { EndpointLimit } from "./endpointLimit.ts";
@@ -72,11 +72,11 @@
     private readonly limits = new Map<string, KnownLimit>();
     private readonly peerDemands = PeerDemands.create();
     private readonly arrivals = new Map<string, SmoothedRate>();
-    private readonly retrySchedule: ReturnSchedule;
+    private readonly retrySchedule: RetrySchedule;
 
     private constructor(options: EndpointLimitsOptions) {
         this.options = options;
-        this.retrySchedule = ReturnSchedule.create(options.random);
+        this.retrySchedule = RetrySchedule.create(options.random);
     }
 
     /** Creates an instance without limits. */
@@ -170,10 +170,10 @@
                 availableRequestsPerSecond += this.getShare(known, known.requestsPerSecond, now).requestsPerSecond;
             }
         }
-        return this.retrySchedule.book({
+        return this.retrySchedule.schedule({
             cost: 1,
             rate: availableRequestsPerSecond / secondMilliseconds,
-            excessMilliseconds: 0,
+            baseDelayMilliseconds: 0,
             now,
         });
     }
--- a/src/request/relay/relayEnvironment.ts
+++ b/src/request/relay/relayEnvironment.ts
@@ -2,7 +2,7 @@
 import type { EventLog } from "../../process/logging/eventLog.ts";
 import type { RandomSource } from "../../process/randomSource.ts";
 import type { RetryBudget } from "../admission/retryBudget.ts";
-import type { UsualDeadlines } from "../admission/start/usualDeadlines.ts";
+import type { RetryDetector } from "../admission/start/retryDetector.ts";
 import type { EndpointHealth } from "./endpointHealth.ts";
 import type { EndpointLoads } from "./endpointLoads.ts";
 import type { EndpointProtocol } from "./endpointProtocol.ts";
@@ -36,7 +36,7 @@
     quarantine: RequestQuarantine;
     queue: RelayQueue;
     firstEvents: FirstEventTimes;
-    deadlines: UsualDeadlines;
+    deadlines: RetryDetector;
     crossingDelays: LinkDelays;
     /** Traffic between data centres caused by this node's requests. */
     linkTraffic: LinkTraffic;
--- a/src/request/relay/relayQueue.ts
+++ b/src/request/relay/relayQueue.ts
@@ -3,7 +3,7 @@
 import { events } from "../../process/logging/events.ts";
 import type { RandomSource } from "../../process/randomSource.ts";
 import type { StartDecision } from "../admission/start/startDecision.ts";
-import { StartLine } from "../admission/start/startLine.ts";
+import { StartQueue } from "../admission/start/startQueue.ts";
 import type { QueuedRelay } from "./queuedRelay.ts";
 import type { ReservedChain } from "./reservedChain.ts";
 
@@ -29,10 +29,10 @@
 /** Maximum time between reviews. Finds changes that cause no notification, such as the end of a suspicion. */
 const maximumReviewDelayMilliseconds = 50;
 
-/** Queue of requests for chains. Executes the decisions of {@link StartLine} and reviews them when something has changed. */
+/** Queue of requests for chains. Executes the decisions of {@link StartQueue} and reviews them when something has changed. */
 export class RelayQueue {
     private readonly options: RelayQueueOptions;
-    private readonly startQueue: StartLine<ReservedChain>;
+    private readonly startQueue: StartQueue<ReservedChain>;
     private timer: TimerHandle | undefined;
     private readonly waits = new Map<QueuedRelay, QueuedWait>();
     private isReviewDue = false;
@@ -40,7 +40,7 @@
 
     private constructor(options: RelayQueueOptions) {
         this.options = options;
-        this.startQueue = StartLine.create(options.random, options.clock.getMonotonicTime());
+        this.startQueue = StartQueue.create(options.random, options.clock.getMonotonicTime());
     }
 
     /** Creates an empty queue. */
@@ -85,12 +85,12 @@
 
     /** Counts a request that was started without the queue. */
     noteStart(): void {
-        this.startQueue.noteStart();
+        this.startQueue.recordStart();
     }
 
-    /** Records that a started request no longer uses its chain. See {@link StartLine.noteEnd}. */
+    /** Records that a started request no longer uses its chain. See {@link StartQueue.recordEnd}. */
     noteEnd(tokens: number, heldMilliseconds: number | undefined): void {
-        this.startQueue.noteEnd(tokens, heldMilliseconds, this.getTime());
+        this.startQueue.recordEnd(tokens, heldMilliseconds, this.getTime());
     }
 
     /** Records that nodes contend for room, before any request has to wait. */
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -246,7 +246,7 @@
 
     private reject(cause: string, retryAfterMilliseconds: number): void {
         const { log, deadlines } = this.environment;
-        deadlines.noteRefusal(this.getTime());
+        deadlines.observeRefusal(this.getTime());
         log.write(events.relayTurnedAway, {
             request: this.task.request.id,
             cause,
--- a/src/request/requestError.ts
+++ b/src/request/requestError.ts
@@ -43,7 +43,7 @@
      * @throws InvariantError if the request may have run.
      */
     static notRun(permit: NotRunPermit, fields: NotRunFields): RequestError {
-        permit.use();
+        permit.assertAvailable();
         return new RequestError({ outcome: Outcome.NotRun, ...fields });
     }
 
--- a/tests/request/admission/admission.test.ts
+++ b/tests/request/admission/admission.test.ts
@@ -31,7 +31,7 @@
     });
 
     it("refuses a request without a deadline after the maximum wait", async () => {
-        const fixture = AdmissionFixture.create({ limits: { maximumQueueMilliseconds: 300 }, places: 0 });
+        const fixture = AdmissionFixture.create({ limits: { maximumQueueMilliseconds: 300 }, concurrencyLimit: 0 });
         const waiting = await fixture.send();
         await fixture.advance(1_000);
         assert.deepEqual([waiting.refusal?.kind, waiting.answeredAt], ["waitTooLong", 300]);
@@ -99,9 +99,9 @@
     });
 
     it("admits waiting requests when the limit increases, and lowers the limit after an engine's refusal", async () => {
-        const fixture = AdmissionFixture.create({ places: 0 });
+        const fixture = AdmissionFixture.create({ concurrencyLimit: 0 });
         const waiting = await Promise.all(Array.from({ length: 4 }, () => fixture.send()));
-        fixture.places = 10;
+        fixture.concurrencyLimit = 10;
         fixture.admission.admitWaiting("chat");
         await fixture.advance(0);
         assert.ok(waiting.every(answer => answer.ticket !== undefined));
--- a/tests/request/admission/admissionFixture.ts
+++ b/tests/request/admission/admissionFixture.ts
@@ -11,7 +11,7 @@
 interface FixtureOptions {
     customers?: Record<string, Partial<CustomerConfiguration>>;
     limits?: Partial<RequestLimits>;
-    places?: number;
+    concurrencyLimit?: number;
 }
 
 /** The result of one request; pending while both the ticket and the refusal are undefined. */
@@ -27,15 +27,15 @@
     readonly clock = VirtualClock.create();
     readonly admission: Admission;
     readonly configuration: Configuration;
-    places: number;
+    concurrencyLimit: number;
 
     private constructor(options: FixtureOptions) {
-        this.places = options.places ?? 1;
+        this.concurrencyLimit = options.concurrencyLimit ?? 1;
         this.configuration = createBenchConfiguration(options.customers ?? { alice: {}, bob: {} }, options.limits);
         const shared = { getConfiguration: () => this.configuration, clock: this.clock, random: createRandom(1) };
         this.admission = Admission.create({
             ...shared,
-            getConcurrencyLimit: () => this.places,
+            getConcurrencyLimit: () => this.concurrencyLimit,
             customerLimits: CustomerLimits.create(shared),
         });
     }
--- a/tests/request/admission/start/startLine.test.ts
+++ b/tests/request/admission/start/startQueue.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { StartLine } from "../../../../src/request/admission/start/startLine.ts";
+import { StartQueue } from "../../../../src/request/admission/start/startQueue.ts";
 import type { StartRequest } from "../../../../src/request/admission/start/startRequest.ts";
 
 interface TestRequest extends StartRequest<string> {
@@ -10,7 +10,7 @@
 
 /** Creates a queue in front of endpoints with free capacity for a number of tokens. */
 function createFixture(freeTokens = 0) {
-    const queue = StartLine.create<string>(() => 0.5, 0);
+    const queue = StartQueue.create<string>(() => 0.5, 0);
     const fixture = {
         queue,
         freeTokens,
@@ -20,10 +20,10 @@
                 rank: 1,
                 customer: "c",
                 cost: 100,
-                timelyUntil: 350,
-                waitsUntil: 1_200,
-                longestReturnMilliseconds: 6_000,
-                takePlace: () => {
+                latestOnTimeStart: 350,
+                latestStart: 1_200,
+                maximumRetryMilliseconds: 6_000,
+                tryReserve: () => {
                     if (fixture.freeTokens < request.cost) {
                         return undefined;
                     }
@@ -31,7 +31,7 @@
                     return name;
                 },
                 isServable: () => true,
-                getLimitReturn: () => undefined,
+                getLimitRetryMilliseconds: () => undefined,
                 ...changes,
             };
             return request;
@@ -40,7 +40,7 @@
         learnThroughput: (milliseconds: number) => {
             fixture.freeTokens += 100;
             queue.decideArrival(fixture.create("pace"), 0);
-            queue.noteEnd(100, milliseconds, 0);
+            queue.recordEnd(100, milliseconds, 0);
         },
         review: (now: number) =>
             queue.review(now).map(({ request, decision }) => `${decision.kind} ${(request as TestRequest).name}`),
@@ -60,7 +60,7 @@
 
     it("immediately refuses a request that only endpoint limits block, with their retry delay", () => {
         const fixture = createFixture(0);
-        const limited = fixture.create("limited", { getLimitReturn: () => 800 });
+        const limited = fixture.create("limited", { getLimitRetryMilliseconds: () => 800 });
         assert.deepEqual(fixture.queue.decideArrival(limited, 0), {
             kind: "refuse",
             cause: "its endpoints limit what they take.",
@@ -104,7 +104,7 @@
 
     it("starts requests that are on time before late ones, and the customer with the least granted work first", () => {
         const fixture = createFixture();
-        fixture.queue.decideArrival(fixture.create("late", { timelyUntil: -1 }), 0);
+        fixture.queue.decideArrival(fixture.create("late", { latestOnTimeStart: -1 }), 0);
         fixture.freeTokens = 300;
         fixture.queue.decideArrival(fixture.create("large", { cost: 300, customer: "large" }), 0);
         fixture.queue.decideArrival(fixture.create("of the large one", { customer: "large" }), 0);
@@ -115,11 +115,14 @@
 
     it("lets small requests overtake a large one only a limited number of times", () => {
         const fixture = createFixture();
-        fixture.queue.decideArrival(fixture.create("large", { cost: 500, timelyUntil: 1_000 }), 0);
+        fixture.queue.decideArrival(fixture.create("large", { cost: 500, latestOnTimeStart: 1_000 }), 0);
         const started: string[] = [];
         for (let index = 0; index < 10; index++) {
             fixture.freeTokens += 100;
-            const decision = fixture.queue.decideArrival(fixture.create(`${index}`, { timelyUntil: 2_000 }), index);
+            const decision = fixture.queue.decideArrival(
+                fixture.create(`${index}`, { latestOnTimeStart: 2_000 }),
+                index,
+            );
             started.push(...(decision.kind === "start" ? [`start ${index}`] : []), ...fixture.review(index));
         }
         assert.ok(started.indexOf("start large") <= 5, started.join());
@@ -129,7 +132,7 @@
     it("refuses waiting requests as soon as they are late if new requests use the whole throughput", () => {
         const fixture = createFixture();
         fixture.learnThroughput(1_000);
-        fixture.queue.noteStart();
+        fixture.queue.recordStart();
         // The rate of new requests exceeds the throughput.
         for (let index = 0; index < 30; index++) {
             fixture.queue.decideArrival(fixture.create(`new ${index}`), 0);
@@ -155,10 +158,10 @@
                 const ended = isEnd ? running.shift() : undefined;
                 if (ended !== undefined) {
                     fixture.freeTokens += ended;
-                    fixture.queue.noteEnd(ended, 100, now);
+                    fixture.queue.recordEnd(ended, 100, now);
                 }
                 const name = `${index}`;
-                const times = { timelyUntil: now + 350, waitsUntil: now + 1_200 };
+                const times = { latestOnTimeStart: now + 350, latestStart: now + 1_200 };
                 const decision = fixture.queue.decideArrival(fixture.create(name, { cost, ...times }), now);
                 if (decision.kind === "start") {
                     running.push(cost);
--- a/tests/request/notRunPermit.test.ts
+++ b/tests/request/notRunPermit.test.ts
@@ -9,7 +9,7 @@
     it('allows a "not run" answer before dispatch and after the endpoint reports that it did not run the request', () => {
         const permit = NotRunPermit.create();
         assert.equal(RequestError.notRun(permit, fields).outcome, "notRun");
-        permit.giveUp();
+        permit.revoke();
         assert.throws(() => RequestError.notRun(permit, fields), { invariant: "notRunIsTrue" });
         permit.restore();
         assert.equal(RequestError.notRun(permit, fields).outcome, "notRun");
--- a/tests/request/relay/relayBench.ts
+++ b/tests/request/relay/relayBench.ts
@@ -1,7 +1,7 @@
 import { endpointProtocol } from "../../../platform/endpointProtocol.ts";
 import type { UpstreamListener } from "../../../src/connection/upstream/upstreamListener.ts";
 import { RetryBudget } from "../../../src/request/admission/retryBudget.ts";
-import { UsualDeadlines } from "../../../src/request/admission/start/usualDeadlines.ts";
+import { RetryDetector } from "../../../src/request/admission/start/retryDetector.ts";
 import type { AnswerSink } from "../../../src/request/relay/answerSink.ts";
 import { EndpointHealth } from "../../../src/request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../../src/request/relay/endpointLoads.ts";
@@ -76,7 +76,7 @@
             retryBudget: RetryBudget.create(0),
             queue,
             firstEvents: FirstEventTimes.create(),
-            deadlines: UsualDeadlines.create(),
+            deadlines: RetryDetector.create(),
             crossingDelays: LinkDelays.create(),
             linkTraffic: LinkTraffic.create(),
             linkPacer: LinkPacer.create(() => 1),
--- a/tests/request/relay/relayQueue.test.ts
+++ b/tests/request/relay/relayQueue.test.ts
@@ -23,12 +23,12 @@
             rank,
             customer: undefined,
             cost: 1,
-            timelyUntil: now + 300,
-            waitsUntil: now + 1_000,
-            longestReturnMilliseconds: 1_000,
+            latestOnTimeStart: now + 300,
+            latestStart: now + 1_000,
+            maximumRetryMilliseconds: 1_000,
             isServable: () => true,
-            getLimitReturn: () => undefined,
-            takePlace: () => {
+            getLimitRetryMilliseconds: () => undefined,
+            tryReserve: () => {
                 if (room.places === 0) {
                     return undefined;
                 }
