--- a/bench/capacity/measureChains.ts
+++ b/bench/capacity/measureChains.ts
@@ -55,7 +55,7 @@
         });
         const dataCentres = Object.keys(configuration.dataCentres);
         const nodeDataCentres = Array.from({ length: nodes }, (_, index) => dataCentres[index % dataCentres.length]!);
-        const compute = () => chooser.computeBound(nodeDataCentres);
+        const compute = () => chooser.computeFlowBound(nodeDataCentres);
         compute();
         points.push({ x: count, y: await measureProcessor(compute, repetitions) / 1_000 });
     }
--- a/bench/policy/computeFleetBound.ts
+++ b/bench/policy/computeFleetBound.ts
@@ -36,6 +36,6 @@
             return [name, { dataCentre, rate }];
         })),
         links: LinkTable.create(configuration),
-        nodes: new Map(Object.keys(configuration.dataCentres).map(name => [name, 1])),
+        nodeShares: new Map(Object.keys(configuration.dataCentres).map(name => [name, 1])),
     });
 }
--- a/bench/policy/decisionCost.ts
+++ b/bench/policy/decisionCost.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../../src/process/clock.ts";
-import type { ChainOptions } from "../../src/request/chain/chainChooser.ts";
+import type { ChooseChainOptions } from "../../src/request/chain/chainChooser.ts";
 import { createSeededRandom } from "../../tests/support/createSeededRandom.ts";
 import { createFleet } from "./fleet.ts";
 import type { Policy } from "./policy.ts";
@@ -37,7 +37,7 @@
     const costs: number[] = [];
     for (let index = 0; index < warmupDecisions + measuredDecisions; index++) {
         now += 1;
-        const options: ChainOptions = {
+        const options: ChooseChainOptions = {
             model: `model${index % models}`,
             dataCentre: "a",
             positions: 24,
--- a/bench/policy/greedyChooser.ts
+++ b/bench/policy/greedyChooser.ts
@@ -1,5 +1,5 @@
 import type { Chain, ChainStage } from "../../src/request/chain/chain.ts";
-import type { ChainChooser, ChainOptions, LoadReport } from "../../src/request/chain/chainChooser.ts";
+import type { ChainChooser, ChooseChainOptions, LoadReport } from "../../src/request/chain/chainChooser.ts";
 import type { NoChainError } from "../../src/request/chain/noChainError.ts";
 import { Err, Ok, type Result } from "../../src/result.ts";
 import type { Configuration } from "../../src/version/configuration.ts";
@@ -45,7 +45,7 @@
     }
 
     /** Chooses the stages one by one, each for the first layer that is still missing. */
-    chooseChain({ model }: ChainOptions): Result<Chain, NoChainError> {
+    chooseChain({ model }: ChooseChainOptions): Result<Chain, NoChainError> {
         const layers = this.configuration.models[model]?.layers ?? 0;
         const stages: ChainStage[] = [];
         let layer = 0;
--- a/bench/recovery/foxleadRouter.ts
+++ b/bench/recovery/foxleadRouter.ts
@@ -70,7 +70,7 @@
             clock: systemClock,
             observer: this.createObserver(),
             getConnection: endpoint => this.directory.getEngine(endpoint),
-            onChain: chain => request.onChain(chain),
+            onChainChosen: chain => request.onChain(chain),
             onText: text => request.onText(text),
         });
         return result.ok;
@@ -101,7 +101,7 @@
     private createObserver(): GenerationObserver {
         return {
             onPassSent: () => () => undefined,
-            onAttemptBroken: failure => {
+            onAttemptFailed: failure => {
                 const cause = `${failure.kind}: ${failure.reason}`;
                 this.counts.brokenAttempts.set(cause, (this.counts.brokenAttempts.get(cause) ?? 0) + 1);
                 if (failure.kind === "unreachable" || failure.kind === "notSent") {
@@ -109,7 +109,7 @@
                 }
             },
             onRecovered: () => undefined,
-            onRebuilt: () => undefined,
+            onContextRebuilt: () => undefined,
             onStaleResult: () => undefined,
         };
     }
--- a/src/process/foxleadNode.ts
+++ b/src/process/foxleadNode.ts
@@ -226,7 +226,7 @@
         return NodeFigures.create({
             clock: this.options.clock,
             metrics,
-            computeBound: () => this.chooser.computeBound(view.getAliveMembers().map(member => member.dataCentre)),
+            computeBound: () => this.chooser.computeFlowBound(view.getAliveMembers().map(member => member.dataCentre)),
             getNodeCount: () => Math.max(1, view.getAliveMembers().length),
             getQueueLength: () => this.admissions.admission.waitingCount,
             getTokenCount: () => metrics.getTokenCount(),
--- a/src/request/chain/chainChooser.ts
+++ b/src/request/chain/chainChooser.ts
@@ -3,7 +3,7 @@
 import type { NoChainError } from "./noChainError.ts";
 
 /** Options for choosing a chain. */
-export interface ChainOptions {
+export interface ChooseChainOptions {
     model: string;
     /** Data centre of the node that chooses. */
     dataCentre: string;
@@ -40,7 +40,7 @@
 
 /** Chooses chains and learns from the observations of this node. All methods are synchronous and do no I/O. */
 export interface ChainChooser {
-    chooseChain(options: ChainOptions): Result<Chain, NoChainError>;
+    chooseChain(options: ChooseChainOptions): Result<Chain, NoChainError>;
     /** Counts a sequence as running on a chain until {@link ChainChooser.releaseChain} is called. */
     reserveChain(chain: Chain): void;
     releaseChain(chain: Chain): void;
--- a/src/request/chain/chainFleet.ts
+++ b/src/request/chain/chainFleet.ts
@@ -1,11 +1,11 @@
 import type { EndpointState } from "../../connection/endpoint/endpointState.ts";
 import type { RandomSource } from "../../process/randomSource.ts";
 import type { Configuration, EndpointConfiguration } from "../../version/configuration.ts";
-import { areEqualRanges } from "./areEqualRanges.ts";
+import { areLayerRangesEqual } from "./areLayerRangesEqual.ts";
 import type { PassObservation } from "./chainChooser.ts";
 import { EndpointLoad } from "./endpointLoad.ts";
 import type { EndpointRecord } from "./endpointRecord.ts";
-import { computeLearntBound } from "./flow/computeLearntBound.ts";
+import { computeFleetFlowBound } from "./flow/computeFleetFlowBound.ts";
 import { LayeredGraph } from "./layeredGraph.ts";
 import { LinkTable } from "./linkTable.ts";
 import { ModelHolders } from "./modelHolders.ts";
@@ -63,14 +63,14 @@
      * Computes an upper bound on the fleet's current throughput in positions per second, from the learned step times.
      * @param nodeDataCentres - Data centre of each node, with one entry per node.
      */
-    computeBound(nodeDataCentres: readonly string[]): number {
+    computeFlowBound(nodeDataCentres: readonly string[]): number {
         this.refreshConfiguration();
         const { configuration, links, estimator } = this;
         if (configuration === undefined) {
             return 0;
         }
         const getModelHolders = (model: string) => this.getModelHolders(model);
-        return computeLearntBound({ configuration, links, estimator, nodeDataCentres, getModelHolders });
+        return computeFleetFlowBound({ configuration, links, estimator, nodeDataCentres, getModelHolders });
     }
 
     /** Checks the layers of all endpoints and drops the graphs whose layers changed. */
@@ -89,7 +89,7 @@
         const link = this.links.getLink(dataCentre, record.dataCentre);
         const milliseconds = Math.max(0, observation.elapsedMilliseconds - 2 * link.latencyMilliseconds);
         this.estimator.observe(record.name, observation, milliseconds);
-        record.load.observeQueue(observation.queue, now);
+        record.load.observeQueueLength(observation.queue, now);
     }
 
     private refreshConfiguration(): void {
@@ -153,7 +153,7 @@
     /** Gets if an endpoint's layers differ from its record. False for an endpoint without a state. */
     private hasChangedLayers(record: EndpointRecord): boolean {
         const state = this.options.getEndpointState(record.name);
-        return state !== undefined && !areEqualRanges(state.layers, record.layers);
+        return state !== undefined && !areLayerRangesEqual(state.layers, record.layers);
     }
 
     private buildModelHolders(model: string): ModelHolders | undefined {
--- a/src/request/chain/chainSearch.ts
+++ b/src/request/chain/chainSearch.ts
@@ -48,7 +48,7 @@
         for (const holder of candidates) {
             this.costsAtHolder[holder] = Infinity;
         }
-        for (let interval = 0; interval < this.graph.intervals; interval++) {
+        for (let interval = 0; interval < this.graph.intervalCount; interval++) {
             if (!this.advanceInterval(interval, candidates, costs)) {
                 return undefined;
             }
@@ -59,7 +59,7 @@
     /** Extends the paths of all candidates that hold an interval by that interval. Returns false if there are none. */
     private advanceInterval(interval: number, candidates: readonly number[], costs: HolderCosts): boolean {
         const { graph, costsAtNode, costsAtHolder, stageStarts } = this;
-        const isLast = interval === graph.intervals - 1;
+        const isLast = interval === graph.intervalCount - 1;
         const layers = graph.getLayer(interval + 1) - graph.getLayer(interval);
         const entryCost = costsAtNode[interval] as number;
         let lowestCost = Infinity;
@@ -68,13 +68,15 @@
             if (holder.firstInterval > interval || holder.endInterval <= interval) {
                 continue;
             }
-            const transfer = costs.transfer[index] as number;
-            const newStageCost = entryCost + (costs.stage[index] as number) + (interval === 0 ? 0 : transfer);
+            const transfer = costs.transferMilliseconds[index] as number;
+            const newStageCost = entryCost + (costs.stageMilliseconds[index] as number)
+                + (interval === 0 ? 0 : transfer);
             if (newStageCost < (costsAtHolder[index] as number)) {
                 costsAtHolder[index] = newStageCost;
                 stageStarts[index] = interval;
             }
-            const costAfterInterval = (costsAtHolder[index] as number) + (costs.layer[index] as number) * layers;
+            const costAfterInterval = (costsAtHolder[index] as number)
+                + (costs.layerMilliseconds[index] as number) * layers;
             costsAtHolder[index] = costAfterInterval;
             const costAtBoundary = isLast ? costAfterInterval : costAfterInterval + transfer;
             if (costAtBoundary < lowestCost) {
@@ -89,7 +91,7 @@
 
     private collectStages(): ChainStage[] {
         const stages: ChainStage[] = [];
-        let boundary = this.graph.intervals;
+        let boundary = this.graph.intervalCount;
         while (boundary > 0) {
             const start = this.lastStarts[boundary] as number;
             const holder = this.graph.holders[this.lastHolders[boundary] as number] as LayerHolder;
--- a/src/request/chain/endpointLoad.ts
+++ b/src/request/chain/endpointLoad.ts
@@ -72,7 +72,7 @@
     }
 
     /** Updates the moving average of the queue length. */
-    observeQueue(queue: number, now: number): void {
+    observeQueueLength(queue: number, now: number): void {
         this.queue = queueWeight * queue + (1 - queueWeight) * this.queue;
         this.queueObservedAt = now;
         this.ownSequencesAtQueueUpdate = this.ownSequences;
@@ -92,7 +92,7 @@
     }
 
     /** Gets the estimated number of sequences that run on the endpoint. */
-    getSequences(): number {
+    getSequenceCount(): number {
         return this.otherSequences + this.ownSequences;
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** Gets the estimated queue length: the last known value plus the sequences that this node added since. */
-    getQueue(): number {
+    getQueueLength(): number {
         return this.queue + Math.max(0, this.ownSequences - this.ownSequencesAtQueueUpdate);
     }
 
--- a/src/request/chain/estimatedTimeChooser.ts
+++ b/src/request/chain/estimatedTimeChooser.ts
@@ -4,7 +4,7 @@
 import { Err, Ok, type Result } from "../../result.ts";
 import type { Configuration } from "../../version/configuration.ts";
 import type { Chain, ChainStage } from "./chain.ts";
-import type { ChainChooser, ChainOptions, LoadReport, PassObservation } from "./chainChooser.ts";
+import type { ChainChooser, ChooseChainOptions, LoadReport, PassObservation } from "./chainChooser.ts";
 import { ChainFleet } from "./chainFleet.ts";
 import type { NoChainError } from "./noChainError.ts";
 import { PrefixIndex } from "./prefixIndex.ts";
@@ -53,12 +53,12 @@
      * Computes an upper bound on the fleet's current throughput in positions per second, from the learned step times.
      * @param nodeDataCentres - Data centre of each node, with one entry per node.
      */
-    computeBound(nodeDataCentres: readonly string[]): number {
-        return this.fleet.computeBound(nodeDataCentres);
+    computeFlowBound(nodeDataCentres: readonly string[]): number {
+        return this.fleet.computeFlowBound(nodeDataCentres);
     }
 
     /** Chooses a chain, or returns the first layer that no usable endpoint holds. */
-    chooseChain(options: ChainOptions): Result<Chain, NoChainError> {
+    chooseChain(options: ChooseChainOptions): Result<Chain, NoChainError> {
         this.dataCentre = options.dataCentre;
         const stages = this.findStages(options);
         if (stages !== undefined) {
@@ -111,7 +111,7 @@
         }
     }
 
-    private findStages(options: ChainOptions): ChainStage[] | undefined {
+    private findStages(options: ChooseChainOptions): ChainStage[] | undefined {
         const holders = this.fleet.getModelHolders(options.model);
         if (holders === undefined) {
             return undefined;
@@ -126,7 +126,7 @@
             ?? findChain([...holders.records.keys()].filter(isUsable));
     }
 
-    private findMissingLayer(options: ChainOptions): number {
+    private findMissingLayer(options: ChooseChainOptions): number {
         const holders = this.fleet.getModelHolders(options.model);
         return holders?.graph.findMissingLayer(holder => holders.isUsable(holder, options.excluded)) ?? 0;
     }
--- a/src/request/chain/flow/computeLearntBound.ts
+++ b/src/request/chain/flow/computeFleetFlowBound.ts
@@ -24,7 +24,7 @@
  * endpoints do not fully cover are left out.
  * @param options - The fleet's configuration, links, step times and nodes.
  */
-export function computeLearntBound(options: FleetFlowBoundOptions): number {
+export function computeFleetFlowBound(options: FleetFlowBoundOptions): number {
     const { configuration, links, estimator } = options;
     const models: FlowModel[] = [];
     const endpoints = new Map<string, FlowEndpoint>();
@@ -41,15 +41,15 @@
             endpoints.set(record.name, { dataCentre: record.dataCentre, rate: isUsable ? rate : 0 });
         }
     }
-    const nodes = new Map<string, number>();
+    const nodeShares = new Map<string, number>();
     for (const dataCentre of options.nodeDataCentres) {
-        nodes.set(dataCentre, (nodes.get(dataCentre) ?? 0) + 1);
+        nodeShares.set(dataCentre, (nodeShares.get(dataCentre) ?? 0) + 1);
     }
-    return models.length === 0 ? 0 : computeFlowBound({ models, endpoints, links, nodes }).positionsPerSecond;
+    return models.length === 0 ? 0 : computeFlowBound({ models, endpoints, links, nodeShares }).positionsPerSecond;
 }
 
 function isCovered(holders: ModelHolders): boolean {
-    return holders.graph.holdersOfInterval.every(indices => {
+    return holders.graph.holderIndicesByInterval.every(indices => {
         return indices.some(index => holders.isUsable(index, noEndpoints));
     });
 }
--- a/src/request/chain/flow/computeFlowBound.ts
+++ b/src/request/chain/flow/computeFlowBound.ts
@@ -13,12 +13,12 @@
  */
 export function computeFlowBound(options: FlowBoundOptions): FlowBound {
     const together = FlowNetwork.create(options);
-    const positionsPerSecond = together.findLargestScale();
+    const positionsPerSecond = together.findMaximumPositionsPerSecond();
     const alone = options.models.map((model): [string, number] => [
         model.name,
         options.models.length === 1
             ? positionsPerSecond
-            : FlowNetwork.create({ ...options, models: [model] }).findLargestScale(),
+            : FlowNetwork.create({ ...options, models: [model] }).findMaximumPositionsPerSecond(),
     ]);
     return { positionsPerSecond, positionsPerSecondAlone: new Map(alone), flows: together.getFlows() };
 }
--- a/src/request/chain/flow/flowBoundOptions.ts
+++ b/src/request/chain/flow/flowBoundOptions.ts
@@ -24,5 +24,5 @@
     endpoints: ReadonlyMap<string, FlowEndpoint>;
     links: LinkTable;
     /** Share of the requests that arrive at the nodes, by data centre. Only the ratios matter. */
-    nodes: ReadonlyMap<string, number>;
+    nodeShares: ReadonlyMap<string, number>;
 }
--- a/src/request/chain/flow/flowNetwork.ts
+++ b/src/request/chain/flow/flowNetwork.ts
@@ -45,7 +45,7 @@
         }
         const total = options.models.reduce((sum, model) => sum + model.demand, 0);
         for (const model of options.models) {
-            for (let interval = 0; interval < model.graph.intervals; interval++) {
+            for (let interval = 0; interval < model.graph.intervalCount; interval++) {
                 this.addInterval(model, interval, model.demand / total);
             }
         }
@@ -60,7 +60,7 @@
      * Finds the largest number of positions per second by the discrete Newton method: while the minimum cut is below
      * the demand, it determines the next, lower scale. The flow of the last iteration stays in the network.
      */
-    findLargestScale(): number {
+    findMaximumPositionsPerSecond(): number {
         const totalUnitCapacity = this.demands.reduce((sum, demand) => sum + demand.unitCapacity, 0);
         const totalRate = [...this.options.endpoints.values()].reduce((sum, endpoint) => sum + endpoint.rate, 0);
         let scale = totalUnitCapacity === 0 ? 0 : totalRate / totalUnitCapacity;
@@ -84,7 +84,7 @@
     getFlows(): Map<string, Float64Array[]> {
         const flows = new Map(this.options.models.map(({ name, graph }) => [
             name,
-            Array.from({ length: graph.intervals }, () => new Float64Array(graph.holders.length)),
+            Array.from({ length: graph.intervalCount }, () => new Float64Array(graph.holders.length)),
         ]));
         for (const { model, interval, holder, edge, layers } of this.holderEdges) {
             const row = flows.get(model)?.[interval];
@@ -98,10 +98,10 @@
     private addInterval(model: FlowModel, interval: number, demandFraction: number): void {
         const { graph } = model;
         const layers = graph.getLayer(interval + 1) - graph.getLayer(interval);
-        const nodeShares = [...this.options.nodes].filter(([, share]) => share > 0);
+        const nodeShares = [...this.options.nodeShares].filter(([, share]) => share > 0);
         const totalShare = nodeShares.reduce((sum, [, share]) => sum + share, 0);
         const dataCentres = new Set<string>();
-        for (const holder of graph.holdersOfInterval[interval] ?? []) {
+        for (const holder of graph.holderIndicesByInterval[interval] ?? []) {
             dataCentres.add(this.addHolder(model, interval, holder, layers));
         }
         for (const [node, share] of nodeShares) {
@@ -126,9 +126,9 @@
     private addHolder(model: FlowModel, interval: number, holder: number, layers: number): string {
         const { endpoint, endInterval, firstInterval } = model.graph.holders[holder] ?? { endpoint: "" };
         const dataCentre = this.options.endpoints.get(endpoint)?.dataCentre ?? "";
-        const holdsWholeModel = firstInterval === 0 && endInterval === model.graph.intervals;
+        const holdsWholeModel = firstInterval === 0 && endInterval === model.graph.intervalCount;
         const targets = holdsWholeModel
-            ? [...this.options.nodes.keys()].map(node => getNodeVertexName(model.name, interval, node))
+            ? [...this.options.nodeShares.keys()].map(node => getNodeVertexName(model.name, interval, node))
             : [getHolderVertexName(model.name, interval, dataCentre)];
         for (const target of targets) {
             const edge = this.flow.addEdge(this.getVertex(endpoint), this.getVertex(target), Infinity);
@@ -146,13 +146,13 @@
     }
 }
 
-function createVertexNumbers({ endpoints, models, nodes }: FlowBoundOptions): Map<string, number> {
+function createVertexNumbers({ endpoints, models, nodeShares }: FlowBoundOptions): Map<string, number> {
     const dataCentres = new Set([...endpoints.values()].map(endpoint => endpoint.dataCentre));
     const names = [...endpoints.keys()];
     for (const { graph, name } of models) {
-        for (let interval = 0; interval < graph.intervals; interval++) {
+        for (let interval = 0; interval < graph.intervalCount; interval++) {
             names.push(...[...dataCentres].map(dataCentre => getHolderVertexName(name, interval, dataCentre)));
-            names.push(...[...nodes.keys()].map(node => getNodeVertexName(name, interval, node)));
+            names.push(...[...nodeShares.keys()].map(node => getNodeVertexName(name, interval, node)));
         }
     }
     return new Map(names.map((name, index) => [name, index + 2]));
--- a/src/request/chain/holderCosts.ts
+++ b/src/request/chain/holderCosts.ts
@@ -1,9 +1,9 @@
 /** Estimated costs of a model's holders by holder index, in milliseconds over the whole request. */
 export interface HolderCosts {
     /** Cost of a stage regardless of its number of layers: waiting, latency and the fixed fraction of a step. */
-    stage: Float64Array;
+    stageMilliseconds: Float64Array;
     /** Cost of transferring the activations one way. Not charged before the first layer or after the last. */
-    transfer: Float64Array;
+    transferMilliseconds: Float64Array;
     /** Cost of one layer. */
-    layer: Float64Array;
+    layerMilliseconds: Float64Array;
 }
--- a/src/request/chain/layeredGraph.ts
+++ b/src/request/chain/layeredGraph.ts
@@ -17,12 +17,12 @@
     readonly boundaries: readonly number[];
     readonly holders: readonly LayerHolder[];
     /** Indices of the holders of each interval. */
-    readonly holdersOfInterval: readonly (readonly number[])[];
+    readonly holderIndicesByInterval: readonly (readonly number[])[];
 
     private constructor(boundaries: readonly number[], holders: readonly LayerHolder[]) {
         this.boundaries = boundaries;
         this.holders = holders;
-        this.holdersOfInterval = boundaries.slice(1).map((_, interval) =>
+        this.holderIndicesByInterval = boundaries.slice(1).map((_, interval) =>
             holders.flatMap((holder, index) =>
                 holder.firstInterval <= interval && interval < holder.endInterval ? [index] : []
             )
@@ -49,7 +49,7 @@
     }
 
     /** Gets the number of intervals. */
-    get intervals(): number {
+    get intervalCount(): number {
         return this.boundaries.length - 1;
     }
 
@@ -64,7 +64,7 @@
      * @returns The layer, or undefined if there is no such layer.
      */
     findMissingLayer(isUsable: (holder: number) => boolean): number | undefined {
-        for (const [interval, holders] of this.holdersOfInterval.entries()) {
+        for (const [interval, holders] of this.holderIndicesByInterval.entries()) {
             if (!holders.some(isUsable)) {
                 return this.getLayer(interval);
             }
--- a/src/request/chain/modelHolders.ts
+++ b/src/request/chain/modelHolders.ts
@@ -1,7 +1,7 @@
 import type { EndpointState } from "../../connection/endpoint/endpointState.ts";
 import type { RandomSource } from "../../process/randomSource.ts";
-import { areEqualRanges } from "./areEqualRanges.ts";
-import type { ChainOptions } from "./chainChooser.ts";
+import { areLayerRangesEqual } from "./areLayerRangesEqual.ts";
+import type { ChooseChainOptions } from "./chainChooser.ts";
 import { ChainSearch } from "./chainSearch.ts";
 import type { EndpointRecord } from "./endpointRecord.ts";
 import type { HolderCosts } from "./holderCosts.ts";
@@ -65,9 +65,9 @@
         this.search = ChainSearch.create(options.graph);
         const count = options.records.length;
         this.costs = {
-            stage: new Float64Array(count),
-            transfer: new Float64Array(count),
-            layer: new Float64Array(count),
+            stageMilliseconds: new Float64Array(count),
+            transferMilliseconds: new Float64Array(count),
+            layerMilliseconds: new Float64Array(count),
         };
     }
 
@@ -80,7 +80,7 @@
     isUsable(index: number, excluded: ReadonlySet<string>): boolean {
         const { layers, name } = this.records[index] as EndpointRecord;
         const state = this.options.getEndpointState(name);
-        return state?.state === "serving" && areEqualRanges(state.layers, layers) && !excluded.has(name);
+        return state?.state === "serving" && areLayerRangesEqual(state.layers, layers) && !excluded.has(name);
     }
 
     /**
@@ -89,7 +89,7 @@
      * @param options - Options of the choice.
      * @param now - Monotonic time, in milliseconds.
      */
-    estimateCosts(candidates: readonly number[], options: ChainOptions, now: number): void {
+    estimateCosts(candidates: readonly number[], options: ChooseChainOptions, now: number): void {
         if (options.dataCentre !== this.dataCentre) {
             this.dataCentre = options.dataCentre;
             this.linksByHolder = this.records.map(record =>
@@ -106,22 +106,22 @@
         }
     }
 
-    private estimateCost(index: number, options: ChainOptions, positions: number, now: number): void {
+    private estimateCost(index: number, options: ChooseChainOptions, positions: number, now: number): void {
         const record = this.records[index] as EndpointRecord;
         const { layers } = this.graph.holders[index] as LayerHolder;
         const step = this.options.estimator.getEstimate(record.name);
         const link = this.linksByHolder[index] as Link;
         const costFactor = options.preferred.has(record.name) ? preferredCostFactor : 1;
         const decodeMilliseconds = step.decodeMilliseconds * (1 + step.uncertainty * (2 * this.options.random() - 1));
-        const passMilliseconds = step.waitMilliseconds * record.load.getQueue()
+        const passMilliseconds = step.waitMilliseconds * record.load.getQueueLength()
             + 2 * link.latencyMilliseconds
             + getPenaltyMilliseconds(record, positions, now);
-        this.costs.stage[index] = costFactor
+        this.costs.stageMilliseconds[index] = costFactor
             * ((expectedOutputTokens + 1) * passMilliseconds
                 + expectedOutputTokens * fullStepFraction * decodeMilliseconds * layers);
-        this.costs.transfer[index] = costFactor
+        this.costs.transferMilliseconds[index] = costFactor
             * (options.positions + expectedOutputTokens) * this.options.hiddenBytes / link.bytesPerMillisecond;
-        this.costs.layer[index] = costFactor
+        this.costs.layerMilliseconds[index] = costFactor
             * (expectedOutputTokens * (1 - fullStepFraction) * decodeMilliseconds
                 + positions * step.prefillMilliseconds);
     }
@@ -129,6 +129,6 @@
 
 /** Gets the penalty per pass for an endpoint that failed recently or is full. */
 function getPenaltyMilliseconds({ load, maximumSequences }: EndpointRecord, positions: number, now: number): number {
-    const isFull = load.getSequences() >= maximumSequences || load.getFreePositions() < positions;
+    const isFull = load.getSequenceCount() >= maximumSequences || load.getFreePositions() < positions;
     return load.getFailures(now) * failurePenaltyMilliseconds + (isFull ? fullPenaltyMilliseconds : 0);
 }
--- a/src/request/chain/selectRandomCandidates.ts
+++ b/src/request/chain/selectRandomCandidates.ts
@@ -8,7 +8,7 @@
 export function selectRandomCandidates(candidatesPerInterval: number): SelectCandidates {
     return (holders, isUsable, random) => {
         const selected = new Set<number>();
-        for (const interval of holders.graph.holdersOfInterval) {
+        for (const interval of holders.graph.holderIndicesByInterval) {
             let remainingDraws = Math.min(2 * candidatesPerInterval, interval.length);
             let found = 0;
             for (
--- a/src/request/model/chainSelection.ts
+++ b/src/request/model/chainSelection.ts
@@ -48,7 +48,7 @@
     }
 
     /** Excludes the endpoint at which a chain broke and prefers the chain's other endpoints. */
-    observeBroken(chain: Chain, endpoint: string): void {
+    observeBrokenChain(chain: Chain, endpoint: string): void {
         this.excluded.add(endpoint);
         this.survivingEndpoints.clear();
         for (const stage of chain.stages) {
@@ -63,7 +63,7 @@
      * exists or the maximum number of replacements is reached.
      * @param endpoint - Endpoint of the stage.
      */
-    leaveSlowStage(endpoint: string): boolean {
+    tryReplaceSlowStage(endpoint: string): boolean {
         if (
             this.slowStageReplacements >= maximumSlowStageReplacements
             || !this.choose(1, new Set(this.excluded).add(endpoint)).ok
--- a/src/request/model/chatAnswer.ts
+++ b/src/request/model/chatAnswer.ts
@@ -32,12 +32,12 @@
     }
 
     /** Creates the event data of the chunks that end a stream. */
-    createLastChunks(finishReason: "stop" | "length"): string[] {
+    createFinalChunks(finishReason: "stop" | "length"): string[] {
         return [this.createChunk({}, finishReason), "[DONE]"];
     }
 
     /** Creates the body of a complete answer. */
-    createWhole(text: string, summary: GenerationSummary): string {
+    createCompletion(text: string, summary: GenerationSummary): string {
         return JSON.stringify({
             ...this.fields,
             object: "chat.completion",
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Parses the text and finish reason of a body created by {@link ChatAnswer.createWhole}.
+     * Parses the text and finish reason of a body created by {@link ChatAnswer.createCompletion}.
      * @param body - Body in UTF-8.
      */
-    static readWhole(body: Buffer): { text: string; finishReason: "stop" | "length"; } {
+    static parseCompletion(body: Buffer): { text: string; finishReason: "stop" | "length"; } {
         const answer = JSON.parse(body.toString("utf8")) as ChatCompletion;
         const choice = answer.choices[0];
         return { text: choice.message.content, finishReason: choice.finish_reason };
--- a/src/request/model/createGenerationObserver.ts
+++ b/src/request/model/createGenerationObserver.ts
@@ -30,7 +30,7 @@
                 span.end();
             };
         },
-        onAttemptBroken: failure => {
+        onAttemptFailed: failure => {
             metrics.rebuildsTotal.inc();
             if (failure.reason === "memory") {
                 environment.admission.observeRefusal(gate);
@@ -50,7 +50,7 @@
         },
         onRecovered: elapsedMilliseconds =>
             metrics.recoverySeconds.observe(elapsedMilliseconds / millisecondsPerSecond),
-        onRebuilt: positions => metrics.rebuiltPositionsTotal.inc(positions),
+        onContextRebuilt: positions => metrics.rebuiltPositionsTotal.inc(positions),
         onStaleResult: reason => metrics.staleResultsTotal.inc({ reason }),
     };
 }
--- a/src/request/model/generation.ts
+++ b/src/request/model/generation.ts
@@ -100,7 +100,7 @@
      * Handles the result of a pass.
      * @param result - Result with the outcome `done`.
      */
-    accept(result: PassResult): GenerationStep {
+    acceptResult(result: PassResult): GenerationStep {
         const staleReason = this.getStaleReason(result);
         if (staleReason !== undefined) {
             return { kind: "stale", reason: staleReason };
--- a/src/request/model/generationObserver.ts
+++ b/src/request/model/generationObserver.ts
@@ -8,11 +8,11 @@
     /** Called when a pass is sent. The returned function is called with the result of the pass. */
     onPassSent(endpoint: string, pass: NextPass): (result: Result<PassResult, PassFailure>) => void;
     /** Called when an attempt fails. */
-    onAttemptBroken(failure: PassFailure): void;
+    onAttemptFailed(failure: PassFailure): void;
     /** Called at the first token after a failed attempt, with the time since the failure. */
     onRecovered(elapsedMilliseconds: number): void;
     /** Called at the end of an answer whose context was rebuilt, with the number of positions that ran again. */
-    onRebuilt(positions: number): void;
+    onContextRebuilt(positions: number): void;
     /** Called when a result is stale or malformed. */
     onStaleResult(reason: string): void;
 }
--- a/src/request/model/handleChat.ts
+++ b/src/request/model/handleChat.ts
@@ -15,7 +15,7 @@
 import { type ChatRequest, parseChatRequest } from "./chatRequest.ts";
 import { createGenerationObserver } from "./createGenerationObserver.ts";
 import { type GenerationSummary, runGeneration } from "./runGeneration.ts";
-import { TokenTimes } from "./tokenTimes.ts";
+import { TokenLatencyRecorder } from "./tokenLatencyRecorder.ts";
 
 const defaultMaximumTokens = 256;
 const bytesPerToken = 4;
@@ -129,7 +129,7 @@
     claim: RequestClaim,
 ): Promise<Result<GenerationSummary, RequestError>> {
     const { environment, context, service, chat, writer } = run;
-    const recorder = TokenTimes.create(environment.clock, environment.metrics, context.arrivedAt);
+    const recorder = TokenLatencyRecorder.create(environment.clock, environment.metrics, context.arrivedAt);
     return await runGeneration({
         request: context.id,
         model: service.model,
@@ -146,7 +146,7 @@
         clock: environment.clock,
         observer: createGenerationObserver(environment, context, ticket.gate),
         getConnection: endpoint => environment.endpoints.getEngine(endpoint),
-        onChain: chain => {
+        onChainChosen: chain => {
             run.headers["x-foxlead-chain"] = formatChain(chain);
         },
         onText: text => {
@@ -169,13 +169,13 @@
 function sendAnswer(run: ChatRun, summary: GenerationSummary): void {
     if (run.chat.isStreamed) {
         startStreamOnce(run);
-        run.writer.endStream(run.answer.createLastChunks(summary.finishReason));
+        run.writer.endStream(run.answer.createFinalChunks(summary.finishReason));
         return;
     }
     run.writer.sendWhole(
         200,
         "application/json",
-        run.answer.createWhole(run.tokenTexts.join(""), summary),
+        run.answer.createCompletion(run.tokenTexts.join(""), summary),
         run.headers,
     );
 }
@@ -186,10 +186,10 @@
         run.writer.sendWhole(keptAnswer.status, keptAnswer.contentType, keptAnswer.body, headers);
         return;
     }
-    const { text, finishReason } = ChatAnswer.readWhole(keptAnswer.body);
+    const { text, finishReason } = ChatAnswer.parseCompletion(keptAnswer.body);
     run.writer.startStream(headers, part => run.answer.createTextChunk(part));
     run.writer.writeText(text);
-    run.writer.endStream(run.answer.createLastChunks(finishReason));
+    run.writer.endStream(run.answer.createFinalChunks(finishReason));
 }
 
 function settleClaim(
@@ -202,7 +202,7 @@
     }
     const { claims } = run.environment;
     if (outcome.ok) {
-        const body = Buffer.from(run.answer.createWhole(run.tokenTexts.join(""), outcome.val));
+        const body = Buffer.from(run.answer.createCompletion(run.tokenTexts.join(""), outcome.val));
         claims.settle(claim.key, { kind: "finished", answer: { status: 200, contentType: "application/json", body } });
         return;
     }
--- a/src/request/model/runGeneration.ts
+++ b/src/request/model/runGeneration.ts
@@ -26,7 +26,7 @@
     observer: GenerationObserver;
     getConnection(endpoint: string): EngineConnection | undefined;
     /** Called with each chain before its first pass. */
-    onChain(chain: Chain): void;
+    onChainChosen(chain: Chain): void;
     /** Called with the text of each accepted token, in order. Not called for empty texts. */
     onText(text: string): void;
 }
@@ -84,7 +84,7 @@
         const outcome = await this.runAttempts();
         const rebuiltPositions = this.generation.getRebuiltPositions();
         if (rebuiltPositions > 0) {
-            this.options.observer.onRebuilt(rebuiltPositions);
+            this.options.observer.onContextRebuilt(rebuiltPositions);
         }
         return outcome;
     }
@@ -112,7 +112,7 @@
     private async runReservedAttempt(chain: Chain): Promise<Result<Omit<GenerationSummary, "chain">, AttemptEnd>> {
         const { chooser, signal } = this.options;
         chooser.reserveChain(chain);
-        this.options.onChain(chain);
+        this.options.onChainChosen(chain);
         // Once the sequence is cancelled, an engine rejects its queued pass, so the attempt ends soon after the signal.
         const cancelChain = () => this.cancelChain(chain);
         signal.addEventListener("abort", cancelChain, { once: true });
@@ -143,7 +143,7 @@
             }
             this.mayHaveRun = true;
             detector.observePass(stage, result.val.count, this.options.clock.getMonotonicTime() - sentAt);
-            const step = this.generation.accept(result.val);
+            const step = this.generation.acceptResult(result.val);
             if (step.kind === "stale" || step.kind === "malformed") {
                 return Err({ kind: "broken", failure: this.createMalformedFailure(endpoint, step) });
             }
@@ -152,7 +152,7 @@
                 return Ok(this.createSummary(step.finishReason));
             }
             const slowStage = step.kind === "token" ? detector.findSlowStage() : undefined;
-            if (slowStage !== undefined && this.selection.leaveSlowStage(chain.stages[slowStage]!.endpoint)) {
+            if (slowStage !== undefined && this.selection.tryReplaceSlowStage(chain.stages[slowStage]!.endpoint)) {
                 return Err({ kind: "broken", failure: createSlowFailure(chain.stages[slowStage]!.endpoint) });
             }
             stage = step.stage;
@@ -218,9 +218,9 @@
         const isRefusal = failure.kind === "refused" || failure.kind === "notSent";
         this.mayHaveRun ||= !isRefusal;
         this.brokenAt ??= clock.getMonotonicTime();
-        this.selection.observeBroken(chain, failure.endpoint);
+        this.selection.observeBrokenChain(chain, failure.endpoint);
         chooser.observeFailure(failure.endpoint);
-        observer.onAttemptBroken(failure);
+        observer.onAttemptFailed(failure);
     }
 
     /** Cancels the sequence at every stage. Engines keep its memory until then. */
--- a/src/request/model/tokenTimes.ts
+++ b/src/request/model/tokenLatencyRecorder.ts
@@ -4,7 +4,7 @@
 const millisecondsPerSecond = 1_000;
 
 /** Records the time to the first token of an answer and the times between its tokens. */
-export class TokenTimes {
+export class TokenLatencyRecorder {
     private readonly clock: Clock;
     private readonly metrics: Metrics;
     /** Time of the last token, or of the request's arrival before the first token. */
@@ -21,8 +21,8 @@
      * Creates the recorder of one answer.
      * @param arrivedAt - Monotonic time of the request's arrival, in milliseconds.
      */
-    static create(clock: Clock, metrics: Metrics, arrivedAt: number): TokenTimes {
-        return new TokenTimes(clock, metrics, arrivedAt);
+    static create(clock: Clock, metrics: Metrics, arrivedAt: number): TokenLatencyRecorder {
+        return new TokenLatencyRecorder(clock, metrics, arrivedAt);
     }
 
     /** Records an accepted token. */
--- a/tests/request/chain/chainFixture.ts
+++ b/tests/request/chain/chainFixture.ts
@@ -1,6 +1,6 @@
 import type { EndpointState } from "../../../src/connection/endpoint/endpointState.ts";
 import type { Clock } from "../../../src/process/clock.ts";
-import type { ChainOptions } from "../../../src/request/chain/chainChooser.ts";
+import type { ChooseChainOptions } from "../../../src/request/chain/chainChooser.ts";
 import { EstimatedTimeChooser } from "../../../src/request/chain/estimatedTimeChooser.ts";
 import type { SelectCandidates } from "../../../src/request/chain/selectCandidates.ts";
 import type { Configuration, EndpointConfiguration } from "../../../src/version/configuration.ts";
@@ -54,7 +54,7 @@
     }
 
     /** Gets the options of a choice for model `m` in data centre `a`. */
-    getOptions(options: Partial<ChainOptions> = {}): ChainOptions {
+    getOptions(options: Partial<ChooseChainOptions> = {}): ChooseChainOptions {
         return {
             model: "m",
             dataCentre: "a",
--- a/tests/request/chain/computeFlowBound.test.ts
+++ b/tests/request/chain/computeFlowBound.test.ts
@@ -37,7 +37,7 @@
             models: ["m0", "m1"].map(name => createModel(name, [both])),
             endpoints: new Map([["e0", { dataCentre: "a", rate: both.rate }]]),
             links: createLinks(),
-            nodes: new Map([["a", 1]]),
+            nodeShares: new Map([["a", 1]]),
         });
         assertClose(bound.positionsPerSecond, 20);
         assertClose(bound.positionsPerSecondAlone.get("m1") ?? 0, 20);
@@ -54,7 +54,7 @@
                 ["e1", { dataCentre: "b", rate: 1e6 }],
             ]),
             links: createLinks(),
-            nodes: new Map([["a", 1]]),
+            nodeShares: new Map([["a", 1]]),
         });
         assertClose(bound.positionsPerSecond, 1_000);
     });
@@ -70,7 +70,7 @@
         models: models.map((held, index) => createModel(`m${index}`, held)),
         endpoints: new Map(endpoints.map(({ rate }, index) => [`e${index}`, { dataCentre: "a", rate }])),
         links: createLinks(),
-        nodes: new Map([["a", 1]]),
+        nodeShares: new Map([["a", 1]]),
     });
 }
 
--- a/tests/request/chain/endpointLoad.test.ts
+++ b/tests/request/chain/endpointLoad.test.ts
@@ -10,9 +10,9 @@
         load.addSequence(950);
         // Sampled at 500: of the five sequences one is this node's, so four belong to other nodes.
         load.applyReport({ queue: 3, sequences: 5, freePositions: 10 }, 500);
-        assert.equal(load.getSequences(), 7);
-        assert.equal(load.getQueue(), 5);
+        assert.equal(load.getSequenceCount(), 7);
+        assert.equal(load.getQueueLength(), 5);
         load.removeSequence(1_000);
-        assert.equal(load.getSequences(), 6);
+        assert.equal(load.getSequenceCount(), 6);
     });
 });
--- a/tests/request/model/generation.test.ts
+++ b/tests/request/model/generation.test.ts
@@ -66,13 +66,13 @@
                         pass = generation.startAttempt(createChain(cuts));
                     }
                     if (kind === "old" && old.length > 0) {
-                        assert.equal(generation.accept(old[old.length >> 1]!).kind, "stale");
+                        assert.equal(generation.acceptResult(old[old.length >> 1]!).kind, "stale");
                     }
                     const result = createResult(pass, emitted.length);
-                    const step = generation.accept(result);
+                    const step = generation.acceptResult(result);
                     old.push(result);
                     if (kind === "doubled") {
-                        assert.equal(generation.accept(result).kind, "stale");
+                        assert.equal(generation.acceptResult(result).kind, "stale");
                     }
                     assert.ok(step.kind === "nextStage" || step.kind === "token" || step.kind === "ended");
                     if (step.kind !== "nextStage") {
@@ -102,21 +102,21 @@
         const generation = createGeneration();
         const pass = generation.startAttempt(createChain([4]));
         const result = createResult(pass, 0);
-        assert.equal(generation.accept({ ...result, layerEnd: 6 }).kind, "malformed");
-        assert.equal(generation.accept({ ...result, request: "other" }).kind, "malformed");
-        assert.equal(generation.accept({ ...result, hidden: [] }).kind, "malformed");
-        assert.equal(generation.accept(result).kind, "nextStage");
+        assert.equal(generation.acceptResult({ ...result, layerEnd: 6 }).kind, "malformed");
+        assert.equal(generation.acceptResult({ ...result, request: "other" }).kind, "malformed");
+        assert.equal(generation.acceptResult({ ...result, hidden: [] }).kind, "malformed");
+        assert.equal(generation.acceptResult(result).kind, "nextStage");
     });
 
     it("counts the positions of a rebuilt context separately", () => {
         const generation = createGeneration();
-        const first = generation.accept(createResult(generation.startAttempt(createChain([])), 0));
+        const first = generation.acceptResult(createResult(generation.startAttempt(createChain([])), 0));
         assert.equal(first.kind, "token");
         const rebuild = generation.startAttempt(createChain([6]));
         assert.equal(rebuild.rebuild, true);
-        const step = generation.accept(createResult(rebuild, 1));
+        const step = generation.acceptResult(createResult(rebuild, 1));
         assert.ok(step.kind === "nextStage");
-        assert.equal(generation.accept(createResult(step.pass, 1)).kind, "token");
+        assert.equal(generation.acceptResult(createResult(step.pass, 1)).kind, "token");
         assert.equal(generation.getRebuiltPositions(), promptPositions + 1);
         assert.equal(generation.getTokenCount(), 2);
     });
