--- a/src/process/orders/engineGrace.ts
+++ b/src/process/orders/engineGracePeriod.ts
@@ -22,7 +22,7 @@
  * and one that recovers is given no load until the period is over. An engine that is leaving gets no grace period,
  * since it is shutting down on purpose.
  */
-export class EngineGrace {
+export class EngineGracePeriod {
     private readonly gracePeriodMilliseconds: number;
     private readonly observed = new Map<string, ObservedState>();
     private observedAt: number | undefined;
@@ -32,8 +32,8 @@
     }
 
     /** Creates an instance without observations. */
-    static create(gracePeriodMilliseconds: number): EngineGrace {
-        return new EngineGrace(gracePeriodMilliseconds);
+    static create(gracePeriodMilliseconds: number): EngineGracePeriod {
+        return new EngineGracePeriod(gracePeriodMilliseconds);
     }
 
     /**
--- a/src/process/orders/findShortages.ts
+++ b/src/process/orders/findShortages.ts
@@ -22,21 +22,21 @@
         const layers = configuration.models[model]?.layers ?? 0;
         let last: RangeShortage | undefined;
         for (let layer = 0; layer < layers; layer += 1) {
-            const holders = coverage.countHolders(model, layer);
-            if (holders >= wantedHolders) {
+            const holderCount = coverage.countHolders(model, layer);
+            if (holderCount >= wantedHolders) {
                 last = undefined;
                 continue;
             }
             const isFull = last !== undefined && last.range.end - last.range.start >= maximumLength;
-            if (last === undefined || last.holders !== holders || boundaries.has(layer) || isFull) {
-                last = { range: { model, start: layer, end: layer }, holders };
+            if (last === undefined || last.holderCount !== holderCount || boundaries.has(layer) || isFull) {
+                last = { range: { model, start: layer, end: layer }, holderCount };
                 shortages.push(last);
             }
             last.range.end = layer + 1;
         }
     }
     // The sort is stable, so ranges with equally many holders stay in the order of models and layers.
-    return shortages.sort((left, right) => left.holders - right.holders);
+    return shortages.sort((left, right) => left.holderCount - right.holderCount);
 }
 
 function getUsedModels(configuration: Configuration): Set<string> {
--- a/src/process/orders/layerCoverage.ts
+++ b/src/process/orders/layerCoverage.ts
@@ -41,7 +41,7 @@
     }
 
     /** Gets if an engine is the only holder of any layer of a model other than the given one. */
-    isOnlyHolderBeside({ endpoint, layers }: ObservedEngine, model: string): boolean {
+    isSoleHolderOfOtherModel({ endpoint, layers }: ObservedEngine, model: string): boolean {
         for (const range of layers) {
             for (const holders of range.model === model ? [] : this.getHolderSets(range)) {
                 if (holders.size === 1 && holders.has(endpoint)) {
--- a/src/process/orders/loadPlanner.ts
+++ b/src/process/orders/loadPlanner.ts
@@ -2,7 +2,7 @@
 import type { EngineStatuses } from "./engineStatuses.ts";
 import { findShortages } from "./findShortages.ts";
 import { LayerCoverage } from "./layerCoverage.ts";
-import type { LoadLedger } from "./loadLedger.ts";
+import type { LoadTracker } from "./loadTracker.ts";
 import type { ObservedEngine } from "./observedEngine.ts";
 import type { OrderDispatcherOptions } from "./orderDispatcherOptions.ts";
 import type { PlannedLoad } from "./plannedLoad.ts";
@@ -11,7 +11,7 @@
 /** Options of a {@link LoadPlanner}. */
 interface LoadPlannerOptions {
     dispatcher: OrderDispatcherOptions;
-    loadTracker: LoadLedger;
+    loadTracker: LoadTracker;
     statuses: EngineStatuses;
     /** Gets the current state of the engines. */
     observe(): ObservedEngine[];
@@ -35,7 +35,7 @@
     async plan(): Promise<PlannedLoad[]> {
         const { dispatcher, loadTracker, observe } = this.options;
         const { clock, getConfiguration, policy } = dispatcher;
-        const slots = loadTracker.getSlots(clock.getMonotonicTime());
+        const slots = loadTracker.getAvailableSlots(clock.getMonotonicTime());
         const shortages = this.countShortages(observe());
         if (slots === 0 || shortages === 0) {
             this.unplacedRanges = Math.min(this.unplacedRanges, shortages);
--- a/src/process/orders/loadRecord.ts
+++ b/src/process/orders/loadRecord.ts
@@ -31,7 +31,7 @@
     }
 
     /** Gets if the revision is known, so that a write needs no read before it. */
-    isKnown(): boolean {
+    isRevisionKnown(): boolean {
         return this.revision !== undefined;
     }
 
--- a/src/process/orders/loadTargets.ts
+++ b/src/process/orders/loadTargetSelector.ts
@@ -5,8 +5,8 @@
 import type { ObservedEngine } from "./observedEngine.ts";
 import type { RangeShortage } from "./rangeShortage.ts";
 
-/** Options of {@link LoadTargets}. */
-interface LoadTargetsOptions {
+/** Options of {@link LoadTargetSelector}. */
+interface LoadTargetSelectorOptions {
     configuration: Configuration;
     engines: readonly ObservedEngine[];
     coverage: LayerCoverage;
@@ -29,11 +29,11 @@
 }
 
 /** Selects the engines that load ranges. */
-export class LoadTargets {
-    private readonly options: LoadTargetsOptions;
+export class LoadTargetSelector {
+    private readonly options: LoadTargetSelectorOptions;
     private readonly estimator = StepTimeEstimator.create();
 
-    private constructor(options: LoadTargetsOptions) {
+    private constructor(options: LoadTargetSelectorOptions) {
         this.options = options;
         for (const [name, endpoint] of Object.entries(options.configuration.endpoints)) {
             if (endpoint.kind === "engine") {
@@ -43,8 +43,8 @@
     }
 
     /** Creates an instance for one plan. */
-    static create(options: LoadTargetsOptions): LoadTargets {
-        return new LoadTargets(options);
+    static create(options: LoadTargetSelectorOptions): LoadTargetSelector {
+        return new LoadTargetSelector(options);
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param shortage - Range that lacks holders.
      * @param excluded - Engines that must not be chosen.
      */
-    choose(shortage: RangeShortage, excluded: ReadonlySet<string>): string | undefined {
+    select(shortage: RangeShortage, excluded: ReadonlySet<string>): string | undefined {
         const regions = this.getRegions(shortage.range.model);
         let best: RankedEngine | undefined;
         for (const engine of this.options.engines) {
@@ -79,12 +79,12 @@
         const positionsAfterLoad = Math.max(0, availablePositions) * Math.max(1, presentLayers)
             / (presentLayers + addedLayers);
         // A model can't serve without a holder for each layer, so a range without holders ignores the required memory.
-        if (shortage.holders > 0 && positionsAfterLoad < configuration.limits.maximumTokens) {
+        if (shortage.holderCount > 0 && positionsAfterLoad < configuration.limits.maximumTokens) {
             return undefined;
         }
         return {
             endpoint,
-            hasNoSoleLayers: !coverage.isOnlyHolderBeside(engine, shortage.range.model),
+            hasNoSoleLayers: !coverage.isSoleHolderOfOtherModel(engine, shortage.range.model),
             isNear: regions.has(this.getRegion(endpoint)),
             score: positionsAfterLoad / this.estimator.getEstimate(endpoint).decodeMilliseconds,
         };
--- a/src/process/orders/loadLedger.ts
+++ b/src/process/orders/loadTracker.ts
@@ -24,7 +24,7 @@
 const millisecondsPerMinute = 60_000;
 
 /** Tracks the loads in progress and limits how many may start, since the weight store is rate-limited. */
-export class LoadLedger {
+export class LoadTracker {
     private readonly policy: OrderPolicy;
     private loads: OrderedLoad[] = [];
     /** Monotonic time until which each engine that failed to load is given no other load, in milliseconds. */
@@ -35,15 +35,15 @@
     }
 
     /** Creates an instance without loads. */
-    static create(policy: OrderPolicy): LoadLedger {
-        return new LoadLedger(policy);
+    static create(policy: OrderPolicy): LoadTracker {
+        return new LoadTracker(policy);
     }
 
     /**
      * Replaces the loads with those that an earlier holder of the lease recorded. Their age is unknown, so they count
      * as new. Their orders are sent again, which is safe because an order states the desired end state.
      */
-    adopt(loads: readonly RecordedLoad[], now: number): void {
+    restore(loads: readonly RecordedLoad[], now: number): void {
         this.loads = loads.map(load => createLoad(load, load.isSettled, now));
     }
 
@@ -65,10 +65,13 @@
     }
 
     /** Gets the number of loads that may start now. */
-    getSlots(now: number): number {
-        const { maximumLoads, maximumLoadsPerMinute } = this.policy;
+    getAvailableSlots(now: number): number {
+        const { maximumConcurrentLoads, maximumLoadsPerMinute } = this.policy;
         const recent = this.loads.filter(load => now - load.startedAt < millisecondsPerMinute);
-        return Math.max(0, Math.min(maximumLoads - this.getPending().length, maximumLoadsPerMinute - recent.length));
+        return Math.max(
+            0,
+            Math.min(maximumConcurrentLoads - this.getPending().length, maximumLoadsPerMinute - recent.length),
+        );
     }
 
     /** Gets the engines that must not be given a load: those that are loading, and those that failed recently. */
@@ -86,9 +89,9 @@
     }
 
     /** Marks a load as failed and excludes its engine from further loads for the retry delay. */
-    giveUp(load: OrderedLoad, now: number): void {
+    fail(load: OrderedLoad, now: number): void {
         load.isSettled = true;
-        this.excludedUntil.set(load.endpoint, now + this.policy.retryMilliseconds);
+        this.excludedUntil.set(load.endpoint, now + this.policy.retryDelayMilliseconds);
     }
 
     /**
@@ -102,7 +105,7 @@
         for (const load of this.getPending()) {
             const end = this.getEnd(load, engines.find(engine => engine.endpoint === load.endpoint), now);
             if (end?.failure !== undefined) {
-                this.giveUp(load, now);
+                this.fail(load, now);
             }
             if (end !== undefined) {
                 load.isSettled = true;
--- a/src/process/orders/orderDispatcher.ts
+++ b/src/process/orders/orderDispatcher.ts
@@ -2,12 +2,12 @@
 import { FencedLease } from "../leases/fencedLease.ts";
 import { events } from "../logging/events.ts";
 import type { OrderDispatcherOptions } from "./orderDispatcherOptions.ts";
-import { OrderTenure } from "./orderTenure.ts";
+import { OrderReconciler } from "./orderReconciler.ts";
 
 /** The lease and the state that exist while this node owns the duty. */
 interface OwnedDuty {
     lease: FencedLease;
-    tenure: OrderTenure;
+    reconciler: OrderReconciler;
 }
 
 const leaseKey = "foxlead/leases/orders";
@@ -64,7 +64,7 @@
                 return;
             }
             this.duty ??= this.beginDuty();
-            await this.duty.tenure.runRound();
+            await this.duty.reconciler.runRound();
         }
         catch (error) {
             this.options.log.write(events.orderRoundFailed, { reason: String(error) });
@@ -84,7 +84,7 @@
             longestOrderMilliseconds,
         });
         lease.start();
-        return { lease, tenure: OrderTenure.create(this.options, lease) };
+        return { lease, reconciler: OrderReconciler.create(this.options, lease) };
     }
 
     private async endDuty(): Promise<void> {
--- a/src/process/orders/orderPolicy.ts
+++ b/src/process/orders/orderPolicy.ts
@@ -6,23 +6,23 @@
      * Time for which an unreachable engine still counts as a holder, and for which a recovered engine is given no load,
      * in milliseconds. Prevents short freezes of engines from causing loads.
      */
-    graceMilliseconds: number;
+    gracePeriodMilliseconds: number;
     /** Most loads in progress at the same time. The weight store is rate-limited. */
-    maximumLoads: number;
+    maximumConcurrentLoads: number;
     /** Most loads that may start within any minute. */
     maximumLoadsPerMinute: number;
     /** Time after which a load fails if the engine has not reported its layers, in milliseconds. */
     loadDeadlineMilliseconds: number;
     /** Time for which an engine that failed to load is given no other load, in milliseconds. */
-    retryMilliseconds: number;
+    retryDelayMilliseconds: number;
 }
 
 /** Default limits. */
 export const OrderPolicy: Readonly<OrderPolicy> = {
     wantedHolders: 1,
-    graceMilliseconds: 3_000,
-    maximumLoads: 4,
+    gracePeriodMilliseconds: 3_000,
+    maximumConcurrentLoads: 4,
     maximumLoadsPerMinute: 12,
     loadDeadlineMilliseconds: 120_000,
-    retryMilliseconds: 60_000,
+    retryDelayMilliseconds: 60_000,
 };
--- a/src/process/orders/orderTenure.ts
+++ b/src/process/orders/orderReconciler.ts
@@ -1,16 +1,16 @@
 import type { FencedLease } from "../leases/fencedLease.ts";
 import { events } from "../logging/events.ts";
 import { countMissingLayers } from "./countMissingLayers.ts";
-import { EngineGrace } from "./engineGrace.ts";
+import { EngineGracePeriod } from "./engineGracePeriod.ts";
 import { EngineStatuses } from "./engineStatuses.ts";
-import { LoadLedger } from "./loadLedger.ts";
 import { LoadPlanner } from "./loadPlanner.ts";
 import { LoadRecord } from "./loadRecord.ts";
+import { LoadTracker } from "./loadTracker.ts";
 import type { ObservedEngine } from "./observedEngine.ts";
 import type { OrderDispatcherOptions } from "./orderDispatcherOptions.ts";
 import type { PlannedLoad } from "./plannedLoad.ts";
 
-type PendingLoad = ReturnType<LoadLedger["getPending"]>[number];
+type PendingLoad = ReturnType<LoadTracker["getPending"]>[number];
 
 const okStatus = 200;
 
@@ -18,11 +18,11 @@
  * Runs the rounds of a node that owns the duty to issue orders. Each round compares the layers that engines hold with
  * the desired number of holders and orders loads for the difference. Without the lease it only observes the engines.
  */
-export class OrderTenure {
+export class OrderReconciler {
     private readonly options: OrderDispatcherOptions;
     private readonly lease: FencedLease;
-    private readonly grace: EngineGrace;
-    private readonly loadTracker: LoadLedger;
+    private readonly grace: EngineGracePeriod;
+    private readonly loadTracker: LoadTracker;
     private readonly record: LoadRecord;
     private readonly statuses: EngineStatuses;
     private readonly planner: LoadPlanner;
@@ -34,8 +34,8 @@
     private constructor(options: OrderDispatcherOptions, lease: FencedLease) {
         this.options = options;
         this.lease = lease;
-        this.grace = EngineGrace.create(options.policy.graceMilliseconds);
-        this.loadTracker = LoadLedger.create(options.policy);
+        this.grace = EngineGracePeriod.create(options.policy.gracePeriodMilliseconds);
+        this.loadTracker = LoadTracker.create(options.policy);
         this.record = LoadRecord.create(options.store);
         this.statuses = EngineStatuses.create(options.getStatus, options.random);
         const { loadTracker, statuses } = this;
@@ -48,8 +48,8 @@
     }
 
     /** Creates an instance. The lease must have been started. */
-    static create(options: OrderDispatcherOptions, lease: FencedLease): OrderTenure {
-        return new OrderTenure(options, lease);
+    static create(options: OrderDispatcherOptions, lease: FencedLease): OrderReconciler {
+        return new OrderReconciler(options, lease);
     }
 
     /**
@@ -85,7 +85,7 @@
         if (fencingNumber === undefined) {
             return false;
         }
-        if (this.restoredFencingNumber === fencingNumber && this.record.isKnown()) {
+        if (this.restoredFencingNumber === fencingNumber && this.record.isRevisionKnown()) {
             return true;
         }
         const loads = await this.record.read();
@@ -94,7 +94,7 @@
             return false;
         }
         if (this.restoredFencingNumber !== fencingNumber) {
-            this.loadTracker.adopt(loads.val, this.now());
+            this.loadTracker.restore(loads.val, this.now());
             this.restoredFencingNumber = fencingNumber;
             this.isRecordStale = false;
         }
@@ -183,7 +183,7 @@
         }
         load.isSent = answer.val === okStatus;
         if (!load.isSent) {
-            this.loadTracker.giveUp(load, this.now());
+            this.loadTracker.fail(load, this.now());
             this.isRecordStale = true;
             log.write(events.loadRefused, { ...getLogFields(load), status: answer.val });
         }
--- a/src/process/orders/planOrders.ts
+++ b/src/process/orders/planOrders.ts
@@ -1,7 +1,7 @@
 import type { Configuration } from "../../version/configuration.ts";
 import { findShortages } from "./findShortages.ts";
 import { LayerCoverage } from "./layerCoverage.ts";
-import { LoadTargets } from "./loadTargets.ts";
+import { LoadTargetSelector } from "./loadTargetSelector.ts";
 import type { ObservedEngine } from "./observedEngine.ts";
 import type { PlannedLoad } from "./plannedLoad.ts";
 
@@ -29,7 +29,7 @@
 export function planOrders(options: PlanOptions): PlannedLoad[] {
     const { configuration, engines, freePositions, loads, slots, wantedHolders } = options;
     const coverage = LayerCoverage.create(configuration.models, engines, loads);
-    const targetSelector = LoadTargets.create({ configuration, engines, coverage, freePositions });
+    const targetSelector = LoadTargetSelector.create({ configuration, engines, coverage, freePositions });
     const excluded = new Set(options.excluded);
     for (const { endpoint } of loads) {
         excluded.add(endpoint);
@@ -39,7 +39,7 @@
         if (planned.length >= slots) {
             break;
         }
-        const endpoint = targetSelector.choose(shortage, excluded);
+        const endpoint = targetSelector.select(shortage, excluded);
         if (endpoint !== undefined) {
             planned.push({ endpoint, range: shortage.range });
             excluded.add(endpoint);
--- a/src/process/orders/rangeShortage.ts
+++ b/src/process/orders/rangeShortage.ts
@@ -4,5 +4,5 @@
 export interface RangeShortage {
     range: LayerRange;
     /** Number of engines that hold or are loading each layer of the range. */
-    holders: number;
+    holderCount: number;
 }
--- a/src/process/placement/chooseLoads.ts
+++ b/src/process/placement/chooseLoads.ts
@@ -11,7 +11,7 @@
     /** Assignments that should be ordered now or later. */
     assignments: readonly LayerAssignment[];
     /** Number of loads that endpoints have begun and, as far as known, not completed. */
-    loading: number;
+    activeLoads: number;
     /** Most concurrent loads that don't slow each other down. */
     loadsAtOnce: number;
 }
@@ -27,7 +27,7 @@
  * parts.
  */
 export function chooseLoads(
-    { columns, endpoints, assignments, loading, loadsAtOnce }: LoadQuery,
+    { columns, endpoints, assignments, activeLoads, loadsAtOnce }: LoadQuery,
 ): readonly LayerAssignment[] {
     const isServing = columns.every(({ layers }) =>
         endpoints.some(endpoint => !endpoint.isBusy && isSameRange(endpoint.layers, layers))
@@ -42,7 +42,7 @@
         return { assignment, missing: countMissingColumns(columns, endpoints, dataCentre), isWhole };
     });
     ranked.sort((left, right) => left.missing - right.missing || Number(right.isWhole) - Number(left.isWhole));
-    return ranked.slice(0, Math.max(0, loadsAtOnce - loading)).map(({ assignment }) => assignment);
+    return ranked.slice(0, Math.max(0, loadsAtOnce - activeLoads)).map(({ assignment }) => assignment);
 }
 
 /** Counts the columns that no endpoint in a data centre holds or is loading. */
--- a/src/process/placement/endpointSettling.ts
+++ b/src/process/placement/endpointStabilityTracker.ts
@@ -16,7 +16,7 @@
  * Tracks if the set of endpoints of a service has once been unchanged for long enough to plan from it or to move an
  * endpoint between columns.
  */
-export class EndpointSettling {
+export class EndpointStabilityTracker {
     private readonly snapshots = new Map<string, EndpointSnapshot>();
     /** Services whose endpoints have become stable. They stay in the set, so later losses are handled immediately. */
     private readonly stableServices = new Set<string>();
@@ -24,8 +24,8 @@
     private constructor() {}
 
     /** Creates an instance in which no service has stable endpoints. */
-    static create(): EndpointSettling {
-        return new EndpointSettling();
+    static create(): EndpointStabilityTracker {
+        return new EndpointStabilityTracker();
     }
 
     /** Waits again for the endpoints of each service to become stable. */
@@ -39,7 +39,7 @@
      * @param endpoints - Endpoints that are not draining.
      * @param now - Monotonic time in milliseconds.
      */
-    note(service: string, endpoints: readonly { id: string; }[], now: number): boolean {
+    update(service: string, endpoints: readonly { id: string; }[], now: number): boolean {
         if (this.stableServices.has(service)) {
             return true;
         }
--- a/src/process/placement/layerOrders.ts
+++ b/src/process/placement/layerOrderTracker.ts
@@ -11,8 +11,8 @@
 import { events } from "../logging/events.ts";
 import { isSameRange } from "./isSameRange.ts";
 
-/** Options of {@link LayerOrders}. */
-interface LayerOrdersOptions {
+/** Options of {@link LayerOrderTracker}. */
+interface LayerOrderTrackerOptions {
     clock: Clock;
     log: EventLog;
     sendOrder(endpoint: RegisteredEndpoint, order: LayerOrder): Promise<OrderOutcome | undefined>;
@@ -45,42 +45,42 @@
  * Sends orders to hold layers and tracks them until their results are known. Each order carries a fencing number and
  * the number of orders that the endpoint has begun, so that an order that arrives late has no effect.
  */
-export class LayerOrders {
-    private readonly options: LayerOrdersOptions;
+export class LayerOrderTracker {
+    private readonly options: LayerOrderTrackerOptions;
     private readonly pending = new Map<string, PendingOrder>();
     /** Monotonic time until which each busy endpoint is given no order, in milliseconds. */
     private readonly busyUntil = new Map<string, number>();
     /** Number of orders that each endpoint has begun, as far as known. */
     private readonly sequences = new Map<string, number>();
     /** Highest fencing number that an endpoint has refused. */
-    private refusedNumber = 0;
+    private refusedFencingNumber = 0;
 
-    private constructor(options: LayerOrdersOptions) {
+    private constructor(options: LayerOrderTrackerOptions) {
         this.options = options;
     }
 
     /** Creates an instance without orders. */
-    static create(options: LayerOrdersOptions): LayerOrders {
-        return new LayerOrders(options);
+    static create(options: LayerOrderTrackerOptions): LayerOrderTracker {
+        return new LayerOrderTracker(options);
     }
 
     /** Gets the highest fencing number that an endpoint has refused. Only orders with a higher number may be sent. */
-    getRefusedNumber(): number {
-        return this.refusedNumber;
+    getRefusedFencingNumber(): number {
+        return this.refusedFencingNumber;
     }
 
     /** Gets if any order has no result yet. */
-    isAnyOpen(): boolean {
+    hasPending(): boolean {
         return this.pending.size > 0;
     }
 
     /** Counts the loads that endpoints have begun and, as far as known, not completed. */
-    countLoading(): number {
+    countActiveLoads(): number {
         return [...this.pending.values()].filter(({ isBegun }) => isBegun).length;
     }
 
     /** Gets the layers that an endpoint was ordered to hold; undefined if no order is pending. */
-    getLayers(endpointId: string): HeldLayers | undefined {
+    getOrderedLayers(endpointId: string): HeldLayers | undefined {
         return this.pending.get(endpointId)?.layers;
     }
 
@@ -117,7 +117,7 @@
         const outcome = await sending;
         log.write(events.placementOrderEnded, { ...fields, outcome: outcome?.kind ?? "unanswered" });
         if (outcome?.kind === "fenced") {
-            this.refusedNumber = Math.max(this.refusedNumber, fencingNumber);
+            this.refusedFencingNumber = Math.max(this.refusedFencingNumber, fencingNumber);
             this.pending.delete(endpoint.id);
         }
         else if (outcome?.kind === "begun") {
@@ -130,7 +130,7 @@
     }
 
     /** Removes orders whose layers the endpoints have registered, and orders of endpoints that are gone. */
-    close(endpoints: readonly RegisteredEndpoint[]): void {
+    removeCompleted(endpoints: readonly RegisteredEndpoint[]): void {
         const byId = new Map(endpoints.map(endpoint => [endpoint.id, endpoint]));
         for (const [id, { layers }] of this.pending) {
             const endpoint = byId.get(id);
@@ -141,7 +141,7 @@
     }
 
     /** Fetches the reports of endpoints with overdue orders. */
-    inquireLate(model: EngineModel, endpoints: readonly RegisteredEndpoint[]): void {
+    checkOverdue(model: EngineModel, endpoints: readonly RegisteredEndpoint[]): void {
         const now = this.options.clock.getMonotonicTime();
         for (const endpoint of endpoints) {
             const order = this.pending.get(endpoint.id);
--- a/src/process/placement/placementDuty.ts
+++ b/src/process/placement/placementController.ts
@@ -12,17 +12,17 @@
 import type { PlatformStore } from "../platform/platformStore.ts";
 import { assignLayers } from "./assignLayers.ts";
 import { chooseLoads } from "./chooseLoads.ts";
-import { EndpointSettling } from "./endpointSettling.ts";
+import { EndpointStabilityTracker } from "./endpointStabilityTracker.ts";
 import type { KindCount } from "./kindCount.ts";
 import type { LayerAssignment } from "./layerAssignment.ts";
 import type { LayerColumn } from "./layerColumn.ts";
-import { LayerOrders } from "./layerOrders.ts";
+import { LayerOrderTracker } from "./layerOrderTracker.ts";
 import type { PlacementEndpoint } from "./placementEndpoint.ts";
 import { type PlacementRecord, placementRecordSchema } from "./placementRecord.ts";
 import { searchColumns } from "./searchColumns.ts";
 
-/** Options of a {@link PlacementDuty}. */
-interface PlacementDutyOptions {
+/** Options of a {@link PlacementController}. */
+interface PlacementControllerOptions {
     store: Pick<PlatformStore, "get" | "compareAndSwap">;
     lease: Pick<FencedLease, "getFencingNumber" | "getLastNumber">;
     /** Gets if this node can reach the store. */
@@ -58,8 +58,8 @@
  * fencing number and the number of orders that the endpoint has begun, so that an order that arrives late has no
  * effect.
  */
-export class PlacementDuty {
-    private readonly options: PlacementDutyOptions;
+export class PlacementController {
+    private readonly options: PlacementControllerOptions;
     private readonly plans = new Map<string, LayerColumn[]>();
     /**
      * Services for which the store was read under the current lease, whether or not it contained a plan. A stored plan
@@ -68,8 +68,8 @@
     private readonly servicesReadFromStore = new Set<string>();
     /** Monotonic time of the last attempt to load each service's plan, in milliseconds. */
     private readonly lastPlanAttemptAt = new Map<string, number>();
-    private readonly settling = EndpointSettling.create();
-    private readonly orders: LayerOrders;
+    private readonly stabilityTracker = EndpointStabilityTracker.create();
+    private readonly orders: LayerOrderTracker;
     /**
      * First layer of the target column of each service's delayed move, and monotonic time since which it is the target.
      */
@@ -81,14 +81,14 @@
     private isPlanning = false;
     private isWorkDue = true;
 
-    private constructor(options: PlacementDutyOptions) {
+    private constructor(options: PlacementControllerOptions) {
         this.options = options;
-        this.orders = LayerOrders.create(options);
+        this.orders = LayerOrderTracker.create(options);
     }
 
     /** Creates an instance that does nothing before {@link start}. */
-    static create(options: PlacementDutyOptions): PlacementDuty {
-        return new PlacementDuty(options);
+    static create(options: PlacementControllerOptions): PlacementController {
+        return new PlacementController(options);
     }
 
     /** Starts to check the endpoints periodically while this node holds the lease or is a candidate for it. */
@@ -113,7 +113,7 @@
             return;
         }
         const fencingNumber = this.getFencingNumber();
-        const canOrder = fencingNumber !== undefined && fencingNumber > this.orders.getRefusedNumber();
+        const canOrder = fencingNumber !== undefined && fencingNumber > this.orders.getRefusedFencingNumber();
         if (!canOrder && !this.options.isCandidate()) {
             return;
         }
@@ -153,29 +153,29 @@
             return false;
         }
         const now = this.options.clock.getMonotonicTime();
-        const isStable = this.settling.note(service, endpoints, now);
+        const isStable = this.stabilityTracker.update(service, endpoints, now);
         const columns = this.plans.get(service);
         if (columns === undefined) {
             const canOrder = fencingNumber !== undefined;
             void this.ensurePlan(service, model, endpoints, { isStable, canOrder });
             return true;
         }
-        this.orders.close(endpoints);
+        this.orders.removeCompleted(endpoints);
         const states = this.createPlacementEndpoints(endpoints, now);
         const assignments = this.getDueOrders(service, model, columns, states, isStable);
-        const isWorkDue = assignments.length > 0 || this.orders.isAnyOpen();
+        const isWorkDue = assignments.length > 0 || this.orders.hasPending();
         if (fencingNumber === undefined) {
             return isWorkDue;
         }
         const { loadsAtOnce } = model;
-        const loading = this.orders.countLoading();
-        for (const assignment of chooseLoads({ columns, endpoints: states, assignments, loading, loadsAtOnce })) {
+        const activeLoads = this.orders.countActiveLoads();
+        for (const assignment of chooseLoads({ columns, endpoints: states, assignments, activeLoads, loadsAtOnce })) {
             const endpoint = endpoints.find(({ id }) => id === assignment.endpointId);
             if (endpoint !== undefined) {
                 void this.orders.send(model, endpoint, assignment.layers, fencingNumber);
             }
         }
-        this.orders.inquireLate(model, endpoints);
+        this.orders.checkOverdue(model, endpoints);
         return isWorkDue;
     }
 
@@ -184,7 +184,7 @@
             id: endpoint.id,
             dataCentre: endpoint.dataCentre,
             kind: endpoint.kind ?? "",
-            layers: this.orders.getLayers(endpoint.id) ?? endpoint.layers,
+            layers: this.orders.getOrderedLayers(endpoint.id) ?? endpoint.layers,
             isBusy: this.orders.isBusy(endpoint.id, now),
         }));
     }
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -21,7 +21,7 @@
 import type { TimerHandle } from "../clock.ts";
 import { FencedLease } from "../leases/fencedLease.ts";
 import { events } from "../logging/events.ts";
-import { PlacementDuty } from "../placement/placementDuty.ts";
+import { PlacementController } from "../placement/placementController.ts";
 import type { ChangeSource } from "../replica/changeSource.ts";
 import { RecordFollower } from "../replica/recordFollower.ts";
 import { RecordSection } from "../replica/recordSection.ts";
@@ -62,7 +62,7 @@
     private readonly storeWatch: StoreWatchController;
     private readonly exchange: PeerExchange;
     private readonly lease: FencedLease;
-    private readonly duty: PlacementDuty;
+    private readonly duty: PlacementController;
     private readonly router: RequestRouter;
     private readonly poll: EndpointPoller;
     private readonly stalls: StallDetector;
@@ -240,7 +240,7 @@
                 () => getRetryPolicy(settings, this.getNodeCount()),
             ),
         };
-        this.duty = PlacementDuty.create({
+        this.duty = PlacementController.create({
             store,
             lease: this.lease,
             isStoreAnswering: () => !this.storeWatch.isWithoutStore(),
--- a/tests/process/orders/orderDispatcher.test.ts
+++ b/tests/process/orders/orderDispatcher.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { events } from "../../../src/process/logging/events.ts";
 import { PausableClock } from "../../support/pausableClock.ts";
-import { OrderBench } from "./orderBench.ts";
+import { OrderTestHarness } from "./orderTestHarness.ts";
 
 const large = (start: number, end: number) => ({ model: "large", start, end });
 const small = { model: "small", start: 0, end: 4 };
@@ -24,8 +24,8 @@
 }
 
 /** Creates a fleet in which node `a` holds the lease and engine `b` has just become unreachable. */
-async function createLoss(options: Partial<Parameters<typeof OrderBench.create>[0]> = {}) {
-    const harness = OrderBench.create({ layers, ...options });
+async function createLoss(options: Partial<Parameters<typeof OrderTestHarness.create>[0]> = {}) {
+    const harness = OrderTestHarness.create({ layers, ...options });
     const pausable = PausableClock.create(harness.clock);
     const [first, second] = [harness.createNode("a", pausable), harness.createNode("b")];
     first.start();
@@ -127,7 +127,9 @@
     });
 
     it("limits concurrent loads and loads per minute, also across a change of the lease holder", async () => {
-        const { harness, first } = await createLoss({ policy: { maximumLoads: 1, maximumLoadsPerMinute: 2 } });
+        const { harness, first } = await createLoss({
+            policy: { maximumConcurrentLoads: 1, maximumLoadsPerMinute: 2 },
+        });
         harness.setState("a", "unreachable");
         harness.setState("c", "unreachable");
         await harness.clock.advance(4_500);
--- a/tests/process/orders/orderBench.ts
+++ b/tests/process/orders/orderTestHarness.ts
@@ -29,7 +29,7 @@
     status?: number;
 }
 
-interface OrderBenchOptions {
+interface OrderTestHarnessOptions {
     layers: Record<string, LayerRange[]>;
     checksFencing?: boolean;
     policy?: Partial<OrderPolicy>;
@@ -38,7 +38,7 @@
 const weightLoadMilliseconds = 5_000;
 
 /** Runs dispatchers against engines that carry out orders, with a fake clock. */
-export class OrderBench {
+export class OrderTestHarness {
     readonly clock = FakeClock.create();
     readonly store = MemoryStore.create();
     readonly log = RecordingEventLog.create();
@@ -56,10 +56,10 @@
     readonly full = new Set<string>();
     /** Whether orders are lost before they reach the engine. */
     losesOrders = false;
-    private readonly options: OrderBenchOptions;
+    private readonly options: OrderTestHarnessOptions;
     private readonly random = createSeededRandom(7);
 
-    private constructor(options: OrderBenchOptions) {
+    private constructor(options: OrderTestHarnessOptions) {
         this.options = options;
         const swap = this.store.compareAndSwap.bind(this.store);
         this.store.compareAndSwap = async (...call) => {
@@ -73,8 +73,8 @@
         }
     }
 
-    static create(options: OrderBenchOptions): OrderBench {
-        return new OrderBench(options);
+    static create(options: OrderTestHarnessOptions): OrderTestHarness {
+        return new OrderTestHarness(options);
     }
 
     createNode(nodeId: string, clock: Clock = PausableClock.create(this.clock)): OrderDispatcher {
--- a/tests/process/orders/planOrders.test.ts
+++ b/tests/process/orders/planOrders.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { countMissingLayers } from "../../../src/process/orders/countMissingLayers.ts";
-import { EngineGrace } from "../../../src/process/orders/engineGrace.ts";
+import { EngineGracePeriod } from "../../../src/process/orders/engineGracePeriod.ts";
 import type { ObservedEngine } from "../../../src/process/orders/observedEngine.ts";
 import { planOrders } from "../../../src/process/orders/planOrders.ts";
 import { createTestConfiguration } from "./createTestConfiguration.ts";
@@ -73,7 +73,7 @@
         const free = fc.dictionary(fc.constantFrom(...names), fc.nat(20_000));
         const property = fc.property(states, free, fc.nat(3), fc.integer({ min: 1, max: 3 }), (...input) => {
             const [observedStates, freePositions, slots, wantedHolders] = input;
-            const grace = EngineGrace.create(1_000);
+            const grace = EngineGracePeriod.create(1_000);
             const observe = (index: 0 | 1) =>
                 Object.entries(layers).map(([endpoint, held], engine) => ({
                     endpoint,
@@ -98,7 +98,7 @@
 
 describe("EngineGracePeriod", () => {
     it("applies the grace period to lost and recovered engines, but not to leaving ones or its own pauses", () => {
-        const grace = EngineGrace.create(3_000);
+        const grace = EngineGracePeriod.create(3_000);
         const observe = (state: "serving" | "leaving" | "unreachable", now: number) => {
             const [engine] = grace.observe([{ endpoint: "a", layers: [], state }], now);
             return [engine?.isHolder, engine?.isServing, engine?.isSteady];
--- a/tests/process/placement/chooseLoads.test.ts
+++ b/tests/process/placement/chooseLoads.test.ts
@@ -16,8 +16,10 @@
     return wanted.map(([endpointId, layers]) => ({ endpointId, layers }));
 }
 
-function listIds(endpoints: PlacementEndpoint[], assignments: ReturnType<typeof assign>, loading = 0): string[] {
-    return chooseLoads({ columns, endpoints, assignments, loading, loadsAtOnce }).map(({ endpointId }) => endpointId);
+function listIds(endpoints: PlacementEndpoint[], assignments: ReturnType<typeof assign>, activeLoads = 0): string[] {
+    return chooseLoads({ columns, endpoints, assignments, activeLoads, loadsAtOnce }).map(({ endpointId }) =>
+        endpointId
+    );
 }
 
 describe("chooseLoads", () => {
--- a/tests/process/placement/placementDuty.test.ts
+++ b/tests/process/placement/placementController.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
-import { PlacementDuty } from "../../../src/process/placement/placementDuty.ts";
+import { PlacementController } from "../../../src/process/placement/placementController.ts";
 import type { HeldLayers } from "../../../src/request/relay/heldLayers.ts";
 import type { LayerOrder } from "../../../src/request/relay/layerOrder.ts";
 import type { RegisteredEndpoint } from "../../../src/request/relay/registeredEndpoint.ts";
@@ -31,8 +31,8 @@
         endpoints = [createMiddle("x", second), createMiddle("y", third), createMiddle("z")];
     });
 
-    function start(fencingNumber: number): PlacementDuty {
-        const controller = PlacementDuty.create({
+    function start(fencingNumber: number): PlacementController {
+        const controller = PlacementController.create({
             store,
             lease: { getFencingNumber: () => fencingNumber, getLastNumber: () => fencingNumber },
             isStoreAnswering: () => true,
