--- a/bench/capacity/computeNodeTotals.ts
+++ b/bench/capacity/computeNodeTotals.ts
@@ -1,4 +1,4 @@
-import { unstretchedNodes } from "../../src/process/membership/unstretchedNodes.ts";
+import { maximumFullRateNodes } from "../../src/process/membership/maximumFullRateNodes.ts";
 import { budgets } from "./budgets.ts";
 import type { IdleNode } from "./idleNode.ts";
 import { letterSize } from "./letterSize.ts";
@@ -12,7 +12,7 @@
 // src/process.
 const vmListReadsPerSecond = 1;
 /** Interval of the periodic reads of the configuration, which grows with the number of nodes as in `getStretch`. */
-const checkIntervalSeconds = 10 * nodes / unstretchedNodes;
+const checkIntervalSeconds = 10 * nodes / maximumFullRateNodes;
 const observeRoundsPerSecond = 2;
 const observersPerEndpoint = 3;
 const gossipRequestsPerSecond = 6;
--- a/bench/capacity/computePathTotals.ts
+++ b/bench/capacity/computePathTotals.ts
@@ -1,4 +1,4 @@
-import { unstretchedNodes } from "../../src/process/membership/unstretchedNodes.ts";
+import { maximumFullRateNodes } from "../../src/process/membership/maximumFullRateNodes.ts";
 import { letterSize } from "./letterSize.ts";
 import type { SlopeTable } from "./slopeTable.ts";
 import type { Total } from "./total.ts";
@@ -19,7 +19,7 @@
     const admission = nodeRequestsPerSecond * slopes.getValue("customers.admit", 0) / 1_000;
     const chainChoice = nodeRequestsPerSecond * slopes.getValue("chains.processor", runners) / 1_000;
     // The observers of an unreachable engine probe it in every round, the other nodes only in one of several rounds.
-    const probesPerRound = 1 / Math.ceil(nodes / unstretchedNodes) + observersPerEndpoint / nodes;
+    const probesPerRound = 1 / Math.ceil(nodes / maximumFullRateNodes) + observersPerEndpoint / nodes;
     const probesPerSecond = runners / dataCentres * observeRoundsPerSecond * probesPerRound;
     const refusedProbes = probesPerSecond * slopes.getSlope("observer.refused") / 1_000;
     return [
--- a/bench/capacity/measureReportSpread.ts
+++ b/bench/capacity/measureReportSpread.ts
@@ -1,6 +1,6 @@
 import { type EndpointReport, EndpointReports } from "../../src/connection/endpoint/endpointReports.ts";
+import { maximumFullRateNodes } from "../../src/process/membership/maximumFullRateNodes.ts";
 import { PeerRotation } from "../../src/process/membership/peerRotation.ts";
-import { unstretchedNodes } from "../../src/process/membership/unstretchedNodes.ts";
 import { createSeededRandom } from "../../tests/support/createSeededRandom.ts";
 import { letterSize } from "./letterSize.ts";
 import type { ReportSpread } from "./reportSpread.ts";
@@ -24,7 +24,7 @@
 const requestBudgetBytes = 128;
 const responseBudgetBytes = 256;
 const observersPerEngine = 3;
-/** Interval at which an observer repeats an unchanged state in a cluster of up to `unstretchedNodes` nodes. */
+/** Interval at which an observer repeats an unchanged state in a cluster of up to `maximumFullRateNodes` nodes. */
 const baseRefreshMilliseconds = 5_000;
 const warmupMilliseconds = 10_000;
 const maximumMilliseconds = 16_000;
@@ -52,7 +52,7 @@
 
 function measurePropagation({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportSpread {
     const random = createSeededRandom(seed);
-    const refreshMilliseconds = baseRefreshMilliseconds * Math.max(1, nodeCount / unstretchedNodes);
+    const refreshMilliseconds = baseRefreshMilliseconds * Math.max(1, nodeCount / maximumFullRateNodes);
     const nodes: ReportNode[] = Array.from({ length: nodeCount }, () => ({
         reports: EndpointReports.create(() => nodeCount),
         rotation: PeerRotation.create(random),
@@ -119,7 +119,7 @@
 function runRound(nodes: readonly ReportNode[], names: readonly string[], fanOut: number): void {
     for (const [index, node] of nodes.entries()) {
         const peers = names.filter(name => name !== String(index));
-        for (const name of node.rotation.take(peers, fanOut)) {
+        for (const name of node.rotation.select(peers, fanOut)) {
             const peer = nodes[Number(name)]!;
             for (const report of node.reports.collect(requestBudgetBytes)) {
                 applyReport(peer, report);
--- a/bench/capacity/measureStore.ts
+++ b/bench/capacity/measureStore.ts
@@ -1,6 +1,6 @@
 import { EndpointDirectory } from "../../src/connection/endpoint/endpointDirectory.ts";
-import { getStretch } from "../../src/process/membership/getStretch.ts";
-import { isWatcher } from "../../src/process/membership/isWatcher.ts";
+import { getIntervalFactor } from "../../src/process/membership/getIntervalFactor.ts";
+import { isConfigurationWatcher } from "../../src/process/membership/isConfigurationWatcher.ts";
 import { MembershipView } from "../../src/process/membership/membershipView.ts";
 import { RendezvousOwners } from "../../src/process/membership/rendezvousOwners.ts";
 import { createVmListReader } from "../../src/process/platform/createVmListReader.ts";
@@ -61,7 +61,7 @@
         incarnation: 1,
     });
     view.applyRecords(members, 0);
-    const intervalMilliseconds = checkIntervalMilliseconds * getStretch(view);
+    const intervalMilliseconds = checkIntervalMilliseconds * getIntervalFactor(view);
     for (const member of members) {
         const follower = ConfigurationFollower.create({ onAccepted: () => undefined });
         const watcher = ConfigurationWatcher.create({
@@ -72,7 +72,7 @@
             eventLog: log,
             getCheckIntervalMilliseconds: () => intervalMilliseconds,
         });
-        watcher.setWatching(isWatcher(member.nodeId, members, owners));
+        watcher.setWatching(isConfigurationWatcher(member.nodeId, members, owners));
         watcher.start();
     }
     await clock.runUntil(intervalMilliseconds);
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -138,7 +138,7 @@
 function printPulls(): void {
     for (const size of sizes) {
         const node = SimulatedFleet.create(size, 1, intervalMilliseconds, 0, 1).nodes[0] as SimulatedNode;
-        const response = toBinary(GossipResponseSchema, node.exchange.answer(node.exchange.createPull(), 0));
+        const response = toBinary(GossipResponseSchema, node.exchange.handleRequest(node.exchange.createPull(), 0));
         const rate = 2 * response.length / pullIntervalSeconds;
         console.log(
             `${size} members: full view ${response.length} B, one pull per minute ${rate.toFixed(0)} B/s per node`,
--- a/bench/membership/measureCallCost.ts
+++ b/bench/membership/measureCallCost.ts
@@ -37,7 +37,7 @@
 export async function measureCallCost(): Promise<CallCost> {
     const fleet = SimulatedFleet.create(2, 1, 500, 0, 1);
     const [first, second] = fleet.nodes as [SimulatedNode, SimulatedNode];
-    const gossip = async (request: GossipRequest) => second.exchange.answer(request, 0);
+    const gossip = async (request: GossipRequest) => second.exchange.handleRequest(request, 0);
     const handlers = { gossip } as unknown as PeerHandlers;
     const server = await PeerServer.create({ address: "127.0.0.1:0", secret, log, handlers });
     const request = first.exchange.createHeartbeat(undefined);
--- a/bench/membership/simulatedFleet.ts
+++ b/bench/membership/simulatedFleet.ts
@@ -120,7 +120,7 @@
     private contactPeers(node: SimulatedNode): void {
         const self = node.view.getSelf().nodeId;
         const peers = node.view.getMembers().filter(member => member.nodeId !== self && member.state !== "dead");
-        for (const nodeId of node.rotation.take(peers.map(peer => peer.nodeId), this.fanOut)) {
+        for (const nodeId of node.rotation.select(peers.map(peer => peer.nodeId), this.fanOut)) {
             this.exchange(node, nodeId);
         }
     }
@@ -134,7 +134,7 @@
             node.view.noteMiss(nodeId, this.now);
             return;
         }
-        const response = peer.exchange.answer(fromBinary(GossipRequestSchema, requestBytes), this.now);
+        const response = peer.exchange.handleRequest(fromBinary(GossipRequestSchema, requestBytes), this.now);
         const responseBytes = toBinary(GossipResponseSchema, response);
         this.count(responseBytes);
         const address = peer.view.getSelf().peerAddress;
--- a/src/process/claimRouter.ts
+++ b/src/process/claimRouter.ts
@@ -6,7 +6,7 @@
 import type { ClaimOwner } from "./claims/claimOwner.ts";
 import type { ClaimVerdict } from "./claims/claimVerdict.ts";
 import type { Clock } from "./clock.ts";
-import { getDutyNodeIds } from "./membership/getDutyNodeIds.ts";
+import { getAssignableNodeIds } from "./membership/getAssignableNodeIds.ts";
 import type { MembershipView } from "./membership/membershipView.ts";
 import type { RendezvousOwners } from "./membership/rendezvousOwners.ts";
 import type { TraceContext } from "./tracing/traceContext.ts";
@@ -127,7 +127,7 @@
     }
 
     private getOwners(shard: number): string[] {
-        const nodeIds = getDutyNodeIds(this.options.view);
+        const nodeIds = getAssignableNodeIds(this.options.view);
         const self = this.options.view.getSelf().nodeId;
         const owners = this.options.owners.getOwners(`claims-${shard}`, nodeIds, candidateCount);
         return owners.length > 0 ? owners : [self];
--- a/src/process/claims/learnStored.ts
+++ b/src/process/claims/applyStoredSlot.ts
@@ -9,10 +9,10 @@
  * @param ring - Ring of the slot's shard.
  * @param stored - Slot as read from the store.
  */
-export function learnStored(ring: ClaimRing, stored: StoredValue): Result<void, string> {
+export function applyStoredSlot(ring: ClaimRing, stored: StoredValue): Result<void, string> {
     const batch = parseClaimBatch(stored.value);
     if (batch.err) {
         return Err(`Key ${stored.key} does not hold a valid batch of claims: ${batch.val}`);
     }
-    return ring.learn(claimStoreKeys.getSlot(stored.key), stored.revision, batch.val);
+    return ring.applyBatch(claimStoreKeys.getSlot(stored.key), stored.revision, batch.val);
 }
--- a/src/process/claims/claimOwner.ts
+++ b/src/process/claims/claimOwner.ts
@@ -49,9 +49,10 @@
 
     private constructor(options: ClaimOwnerOptions) {
         const { futureToleranceMilliseconds, clockMarginMilliseconds } = claimTimes;
-        const rememberMilliseconds = options.windowMilliseconds + futureToleranceMilliseconds + clockMarginMilliseconds;
+        const retentionMilliseconds = options.windowMilliseconds + futureToleranceMilliseconds
+            + clockMarginMilliseconds;
         this.options = options;
-        this.grants = options.grants ?? GrantLedger.create({ rememberMilliseconds });
+        this.grants = options.grants ?? GrantLedger.create({ retentionMilliseconds });
     }
 
     /** Creates an owner that has not read any shard yet. */
--- a/src/process/claims/claimRing.ts
+++ b/src/process/claims/claimRing.ts
@@ -84,7 +84,7 @@
     }
 
     /** Gets if a key that is not in memory may belong to a claim that was dropped, or that the next append overwrites. */
-    isForgotten(issuedAt: number): boolean {
+    isBelowHorizon(issuedAt: number): boolean {
         return issuedAt <= Math.max(this.memoryHorizon, this.getNextHorizon());
     }
 
@@ -95,7 +95,7 @@
      * @param revision - Revision of the slot's key in the store.
      * @param batch - Contents of the slot.
      */
-    learn(slot: number, revision: number, batch: ClaimBatch): Result<void, string> {
+    applyBatch(slot: number, revision: number, batch: ClaimBatch): Result<void, string> {
         const known = this.slots[slot];
         if (known !== undefined && revision <= known.revision) {
             return Ok(undefined);
@@ -136,7 +136,7 @@
      * Drops expired claims from memory. Their keys are refused from then on, even if the wall clock steps back.
      * @param wallTime - Wall-clock time in milliseconds since the Unix epoch.
      */
-    dropPast(wallTime: number): void {
+    dropExpired(wallTime: number): void {
         const oldest = Math.max(0, this.tail - this.size + 1);
         for (let number = Math.max(oldest, this.droppedThrough + 1); number <= this.tail; number++) {
             const slot = this.slots[number % this.size];
--- a/src/process/claims/claimShard.ts
+++ b/src/process/claims/claimShard.ts
@@ -11,10 +11,10 @@
 import { claimStoreKeys } from "./claimStoreKeys.ts";
 import type { ClaimVerdict } from "./claimVerdict.ts";
 import { decideClaim } from "./decideClaim.ts";
-import { RingReading } from "./ringReading.ts";
+import { RingCursor } from "./ringCursor.ts";
+import { selectBatchClaims } from "./selectBatchClaims.ts";
 import type { ShardOutput } from "./shardOutput.ts";
-import { SlotIntake } from "./slotIntake.ts";
-import { takeBatchClaims } from "./takeBatchClaims.ts";
+import { SlotApplier } from "./slotApplier.ts";
 import { WaitingClaims } from "./waitingClaims.ts";
 
 /** Delay before a failed call is retried. */
@@ -33,8 +33,8 @@
 export class ClaimShard {
     private readonly options: ClaimShardOptions;
     private readonly ring: ClaimRing;
-    private readonly cursor: RingReading;
-    private readonly slotApplier: SlotIntake;
+    private readonly cursor: RingCursor;
+    private readonly slotApplier: SlotApplier;
     private readonly waiting: WaitingClaims;
     /** Batch of the append in flight. */
     private inFlightBatch: ClaimBatch | undefined;
@@ -50,10 +50,10 @@
     private constructor(options: ClaimShardOptions) {
         this.options = options;
         this.ring = ClaimRing.create({ size: options.ringSize, windowMilliseconds: options.windowMilliseconds });
-        this.cursor = RingReading.create(this.ring, slot => claimStoreKeys.getSlotKey(options.shard, slot));
-        this.slotApplier = SlotIntake.create({
+        this.cursor = RingCursor.create(this.ring, slot => claimStoreKeys.getSlotKey(options.shard, slot));
+        this.slotApplier = SlotApplier.create({
             ring: this.ring,
-            reading: this.cursor,
+            cursor: this.cursor,
             ownerId: options.ownerId,
             ringSize: options.ringSize,
             log: (event, fields) => this.log(event, fields),
@@ -61,7 +61,7 @@
         this.waiting = WaitingClaims.create({
             decide: (claim, wallTime) => this.decide(claim, wallTime),
             isReady: () => this.isReady(),
-            findPossible: key =>
+            findUnconfirmed: key =>
                 this.unconfirmed.get(key) ?? this.inFlightBatch?.claims.find(claim => claim.key === key),
         });
     }
@@ -118,14 +118,14 @@
             this.scheduleRetry(result.val, time);
             return this.step(time);
         }
-        if (!this.slotApplier.learnPage(result.val)) {
+        if (!this.slotApplier.applyPage(result.val)) {
             this.retryAt = time.monotonic + retryDelayMilliseconds;
         }
         if (this.isReady()) {
             this.isLoadRequested = false;
             this.log(events.claimShardLoaded, { claims: this.ring.getClaimCount(), next: this.ring.getNextNumber() });
         }
-        this.waiting.answerDecided(time);
+        this.waiting.resolveDecided(time);
         return this.step(time);
     }
 
@@ -147,14 +147,14 @@
     }
 
     private applyAppendOutcome(outcome: SwapOutcome, sent: ClaimBatch, time: EventTime): void {
-        this.slotApplier.learnSwap(outcome, sent);
+        this.slotApplier.applySwapOutcome(outcome, sent);
         if (this.ring.getNextNumber() <= sent.number) {
             this.addUnconfirmed(sent);
             this.retryAt = time.monotonic + retryDelayMilliseconds;
             return;
         }
         this.unconfirmed.clear();
-        this.waiting.answerDecided(time);
+        this.waiting.resolveDecided(time);
     }
 
     private addUnconfirmed(batch: ClaimBatch): void {
@@ -177,8 +177,8 @@
     }
 
     private step(time: EventTime): ShardOutput {
-        this.ring.dropPast(time.wall);
-        this.waiting.giveUp(time);
+        this.ring.dropExpired(time.wall);
+        this.waiting.refuseExpired(time);
         if (!this.isCalling && this.isCallNeeded() && time.monotonic >= this.getCallTime()) {
             this.startCall(time);
         }
@@ -199,7 +199,7 @@
     }
 
     private append(time: EventTime): void {
-        this.waiting.answerDecided(time);
+        this.waiting.resolveDecided(time);
         if (!this.ring.isNextSlotFree(time.wall)) {
             this.log(events.claimRingFull, { waiting: this.waiting.getEntries().length });
             this.waiting.refuseAll(
@@ -216,7 +216,7 @@
             batchId: `${this.options.ownerId}-${this.batchCount}`,
             writtenAt: time.wall,
             horizon: this.ring.getNextHorizon(),
-            claims: takeBatchClaims(this.waiting.getEntries()),
+            claims: selectBatchClaims(this.waiting.getEntries()),
         };
         this.appendAt = time.monotonic + this.options.appendIntervalMilliseconds;
         this.isCalling = true;
--- a/src/process/claims/decideClaim.ts
+++ b/src/process/claims/decideClaim.ts
@@ -35,7 +35,7 @@
     if (check.err || !isReady || !ring.isNextSlotFree(wallTime)) {
         return undefined;
     }
-    if (ring.isForgotten(check.val)) {
+    if (ring.isBelowHorizon(check.val)) {
         return {
             outcome: ClaimOutcome.TooOld,
             message: "The idempotency key is older than claims that were already dropped."
--- a/src/process/claims/grantLedger.ts
+++ b/src/process/claims/grantLedger.ts
@@ -3,7 +3,7 @@
 /** Options of a {@link GrantLedger}. */
 export interface GrantLedgerOptions {
     /** How long a grant is remembered, in milliseconds. */
-    rememberMilliseconds: number;
+    retentionMilliseconds: number;
 }
 
 interface Grant {
@@ -17,7 +17,7 @@
     private readonly retentionMilliseconds: number;
 
     private constructor(options: GrantLedgerOptions) {
-        this.retentionMilliseconds = options.rememberMilliseconds;
+        this.retentionMilliseconds = options.retentionMilliseconds;
     }
 
     /** Creates an empty ledger. */
--- a/src/process/claims/ringReading.ts
+++ b/src/process/claims/ringCursor.ts
@@ -4,7 +4,7 @@
  * Cursor for reading a ring page by page. A listing is not a snapshot: another owner may append between two pages, so
  * after the first listing, slots with an older batch than the tail implies are read again.
  */
-export class RingReading {
+export class RingCursor {
     private readonly ring: ClaimRing;
     private readonly getSlotKey: (slot: number) => string;
     private isListed = false;
@@ -23,8 +23,8 @@
      * @param ring - Ring that the pages are applied to.
      * @param getSlotKey - Gets the key of a slot.
      */
-    static create(ring: ClaimRing, getSlotKey: (slot: number) => string): RingReading {
-        return new RingReading(ring, getSlotKey);
+    static create(ring: ClaimRing, getSlotKey: (slot: number) => string): RingCursor {
+        return new RingCursor(ring, getSlotKey);
     }
 
     /** Gets the key to read from next, or undefined if all batches up to the tail are known. */
--- a/src/process/claims/takeBatchClaims.ts
+++ b/src/process/claims/selectBatchClaims.ts
@@ -8,7 +8,7 @@
  * Selects the claims for the next append: the oldest claim of each key, as many as fit into one stored value.
  * @param waiting - Waiting claims, oldest first.
  */
-export function takeBatchClaims(waiting: readonly WaitingClaim[]): Claim[] {
+export function selectBatchClaims(waiting: readonly WaitingClaim[]): Claim[] {
     const claims = new Map<string, Claim>();
     let characters = 0;
     for (const { claim } of waiting) {
--- a/src/process/claims/slotIntake.ts
+++ b/src/process/claims/slotApplier.ts
@@ -2,19 +2,19 @@
 import { events } from "../logging/events.ts";
 import type { LogEvent } from "../logging/logEvent.ts";
 import type { StoredPage, SwapOutcome } from "../platform/platformStore.ts";
+import { applyStoredSlot } from "./applyStoredSlot.ts";
 import type { ClaimBatch } from "./claimBatch.ts";
 import type { ClaimRing } from "./claimRing.ts";
-import { learnStored } from "./learnStored.ts";
-import type { RingReading } from "./ringReading.ts";
+import type { RingCursor } from "./ringCursor.ts";
 
 const remedy = "Once the window has passed, delete the shard's keys.";
 
-/** Options of a {@link SlotIntake}. */
-interface SlotIntakeOptions {
+/** Options of a {@link SlotApplier}. */
+interface SlotApplierOptions {
     /** Ring that the slots are applied to. */
     ring: ClaimRing;
     /** Cursor that reads the ring. */
-    reading: RingReading;
+    cursor: RingCursor;
     /** Id of this owner, which is part of its batch ids. */
     ownerId: string;
     /** Number of slots in the ring. */
@@ -23,16 +23,16 @@
 }
 
 /** Applies the stored slots of a shard to its ring and logs inconsistent ones. Does no I/O. */
-export class SlotIntake {
-    private readonly options: SlotIntakeOptions;
+export class SlotApplier {
+    private readonly options: SlotApplierOptions;
 
-    private constructor(options: SlotIntakeOptions) {
+    private constructor(options: SlotApplierOptions) {
         this.options = options;
     }
 
     /** Creates an applier for a ring. */
-    static create(options: SlotIntakeOptions): SlotIntake {
-        return new SlotIntake(options);
+    static create(options: SlotApplierOptions): SlotApplier {
+        return new SlotApplier(options);
     }
 
     /**
@@ -41,11 +41,11 @@
      * @param outcome - Response of the store.
      * @param sent - Batch of the append.
      */
-    learnSwap(outcome: SwapOutcome, sent: ClaimBatch): void {
-        const { ring, reading, ownerId, ringSize, log } = this.options;
+    applySwapOutcome(outcome: SwapOutcome, sent: ClaimBatch): void {
+        const { ring, cursor, ownerId, ringSize, log } = this.options;
         const { swapped, revision, current } = outcome;
         if (swapped) {
-            this.checkApplied(ring.learn(sent.number % ringSize, revision ?? 0, sent));
+            this.checkApplied(ring.applyBatch(sent.number % ringSize, revision ?? 0, sent));
             return;
         }
         if (current === undefined) {
@@ -55,9 +55,9 @@
             return;
         }
         const isOwn = current.value.includes(ownerId);
-        if (this.checkApplied(learnStored(ring, current)) && !isOwn) {
+        if (this.checkApplied(applyStoredSlot(ring, current)) && !isOwn) {
             log(events.claimRaceLost, { number: sent.number });
-            reading.readFromTail();
+            cursor.readFromTail();
         }
     }
 
@@ -65,16 +65,16 @@
      * Applies a page of slots.
      * @returns Whether reading made progress.
      */
-    learnPage(page: StoredPage): boolean {
-        const { ring, reading } = this.options;
+    applyPage(page: StoredPage): boolean {
+        const { ring, cursor } = this.options;
         for (const value of page.values) {
-            if (!this.checkApplied(learnStored(ring, value))) {
+            if (!this.checkApplied(applyStoredSlot(ring, value))) {
                 return false;
             }
         }
-        const hasAdvanced = reading.finishPage(page.nextKey);
+        const hasAdvanced = cursor.finishPage(page.nextKey);
         return hasAdvanced || this.checkApplied(Err(
-            `The store has lost the batch expected in ${reading.getKey()}. ${remedy}`,
+            `The store has lost the batch expected in ${cursor.getKey()}. ${remedy}`,
         ));
     }
 
--- a/src/process/claims/waitingClaims.ts
+++ b/src/process/claims/waitingClaims.ts
@@ -13,7 +13,7 @@
     /** Gets if the shard has been read up to its tail. */
     isReady(): boolean;
     /** Finds a claim on a key that may have taken effect or may still do so. */
-    findPossible(key: string): Claim | undefined;
+    findUnconfirmed(key: string): Claim | undefined;
 }
 
 /** Most waiting claims in one shard. */
@@ -60,12 +60,12 @@
     }
 
     /** Resolves the claims that can be decided now. */
-    answerDecided(time: EventTime): void {
+    resolveDecided(time: EventTime): void {
         this.entries = this.entries.filter(entry => !this.tryResolve(entry, time));
     }
 
     /** Refuses the claims whose deadline has passed. */
-    giveUp(time: EventTime): void {
+    refuseExpired(time: EventTime): void {
         const isExpired = (entry: WaitingClaim): boolean => entry.deadline <= time.monotonic;
         if (this.entries[0] === undefined || !isExpired(this.entries[0])) {
             return;
@@ -102,7 +102,7 @@
     }
 
     private getRefusal(claim: Claim, message: string): ClaimVerdict {
-        const unconfirmed = this.options.findPossible(claim.key);
+        const unconfirmed = this.options.findUnconfirmed(claim.key);
         if (unconfirmed === undefined || unconfirmed.claimant === claim.claimant) {
             const isUnclaimed = this.options.isReady();
             return { outcome: ClaimOutcome.Unavailable, message, ...(isUnclaimed ? { isUnclaimed } : {}) };
--- a/src/process/createOrderDispatcher.ts
+++ b/src/process/createOrderDispatcher.ts
@@ -2,7 +2,7 @@
 import type { Configuration } from "../version/configuration.ts";
 import type { Clock } from "./clock.ts";
 import type { EventLog } from "./logging/eventLog.ts";
-import { getDutyNodeIds } from "./membership/getDutyNodeIds.ts";
+import { getAssignableNodeIds } from "./membership/getAssignableNodeIds.ts";
 import type { MembershipView } from "./membership/membershipView.ts";
 import type { RendezvousOwners } from "./membership/rendezvousOwners.ts";
 import { OrderDispatcher } from "./orders/orderDispatcher.ts";
@@ -40,7 +40,7 @@
         sendOrder: (endpoint, order) => directory.getEngine(endpoint)?.sendOrder(order),
         getStatus: endpoint => directory.getEngine(endpoint)?.getStatus(),
         isDutyOwner: () => {
-            const nodeIds = getDutyNodeIds(view);
+            const nodeIds = getAssignableNodeIds(view);
             return owners.getOwners(dutyKey, nodeIds, 1)[0] === nodeId;
         },
     });
--- a/src/process/createPeerHandlers.ts
+++ b/src/process/createPeerHandlers.ts
@@ -1,13 +1,13 @@
 import type { PeerHandlers } from "../connection/peer/peerHandlers.ts";
 import type { ClaimService } from "./claimService.ts";
 import type { KeptState } from "./keptState.ts";
-import type { ConfigurationSpreader } from "./membership/configurationSpreader.ts";
+import type { ConfigurationDistributor } from "./membership/configurationDistributor.ts";
 import type { Gossiper } from "./membership/gossiper.ts";
 
 /** Parts of a node that handle calls of its peers. */
 interface PeerHandlerParts {
     gossiper: Gossiper;
-    spreader: ConfigurationSpreader;
+    distributor: ConfigurationDistributor;
     claims: ClaimService;
 }
 
@@ -23,11 +23,11 @@
 
 /** Creates the handlers of the peer listener. */
 export function createPeerHandlers(parts: PeerHandlerParts): PeerHandlers {
-    const { gossiper, spreader, claims } = parts;
+    const { gossiper, distributor, claims } = parts;
     return {
         gossip: request => Promise.resolve(gossiper.handleGossip(request)),
-        announceConfiguration: request => Promise.resolve(spreader.handleAnnounce(request)),
-        getConfiguration: request => Promise.resolve(spreader.handleGet(request)),
+        announceConfiguration: request => Promise.resolve(distributor.handleAnnounce(request)),
+        getConfiguration: request => Promise.resolve(distributor.handleGet(request)),
         claim: async request => ({ verdicts: await claims.claimForPeer(request.shard, request.items) }),
         takeKeptAnswers: request => {
             claims.takeAnswers(request.items);
--- a/src/process/endpointService.ts
+++ b/src/process/endpointService.ts
@@ -9,7 +9,7 @@
 import type { Clock } from "./clock.ts";
 import type { EventLog } from "./logging/eventLog.ts";
 import { events } from "./logging/events.ts";
-import { getStretch } from "./membership/getStretch.ts";
+import { getIntervalFactor } from "./membership/getIntervalFactor.ts";
 import type { MembershipView } from "./membership/membershipView.ts";
 import type { RendezvousOwners } from "./membership/rendezvousOwners.ts";
 import type { Metrics } from "./metrics/metrics.ts";
@@ -59,7 +59,7 @@
             clock: options.clock,
             random: options.random,
             intervalMilliseconds: observeIntervalMilliseconds,
-            getStretch: () => getStretch(options.view),
+            getStretch: () => getIntervalFactor(options.view),
             isObserver: endpoint => this.isObserver(endpoint),
             onStatus: (endpoint, status) => this.observeLoad(endpoint, status),
             onReport: report => void this.reports.add(report),
--- a/src/process/foxleadNode.ts
+++ b/src/process/foxleadNode.ts
@@ -17,10 +17,10 @@
 import { EndpointService } from "./endpointService.ts";
 import type { EventLog } from "./logging/eventLog.ts";
 import { events } from "./logging/events.ts";
-import { getStretch } from "./membership/getStretch.ts";
+import { getIntervalFactor } from "./membership/getIntervalFactor.ts";
+import { maximumFullRateNodes } from "./membership/maximumFullRateNodes.ts";
 import { MembershipView } from "./membership/membershipView.ts";
 import { RendezvousOwners } from "./membership/rendezvousOwners.ts";
-import { unstretchedNodes } from "./membership/unstretchedNodes.ts";
 import { MembershipService } from "./membershipService.ts";
 import { Metrics } from "./metrics/metrics.ts";
 import { NodeFigures } from "./nodeFigures.ts";
@@ -92,7 +92,7 @@
             clock,
             random,
             log,
-            getStretch: () => getStretch(view),
+            getStretch: () => getIntervalFactor(view),
             onAccepted: version => this.applyVersion(version),
         });
         const getConfiguration = () => this.configurations.getConfiguration();
@@ -131,13 +131,13 @@
      */
     async start(): Promise<void> {
         const { settings, log } = this.options;
-        const { gossiper, spreader } = this.membership;
+        const { gossiper, distributor } = this.membership;
         this.peerServer = await PeerServer.create({
             address: settings.peerListener,
             secret: settings.peerSecret,
             tls: settings.tls.peers,
             log,
-            handlers: createPeerHandlers({ gossiper, spreader, claims: this.claims }),
+            handlers: createPeerHandlers({ gossiper, distributor, claims: this.claims }),
         });
         const admin = await this.admin.listen();
         if (!admin.ok) {
@@ -251,7 +251,7 @@
                 collectEndpointRecords: budgetBytes => this.endpoints.collectRecords(budgetBytes),
                 applyEndpointRecords: records => this.endpoints.applyRecords(records),
                 collectDemandRecords: budgetBytes => {
-                    const isSmall = this.view.getAliveMembers().length <= unstretchedNodes;
+                    const isSmall = this.view.getAliveMembers().length <= maximumFullRateNodes;
                     return customerLimits.getDemand(isSmall ? undefined : Math.floor(budgetBytes / demandRecordBytes));
                 },
                 applyDemandRecords: (records, nodeId) => customerLimits.applyPeerDemand(nodeId, records),
@@ -305,7 +305,7 @@
         this.claims.configure(version.configuration.claims);
         this.view.setConfigurationVersion(version.version);
         this.metrics.configurationVersion.set(version.version);
-        this.membership.spreader.announce(version.version);
+        this.membership.distributor.announce(version.version);
     }
 }
 
--- a/src/process/keptAnswerHandOff.ts
+++ b/src/process/keptAnswerHandOff.ts
@@ -7,7 +7,7 @@
 } from "../wire/generated/foxlead/peer/v1/peer_pb.ts";
 import type { Clock } from "./clock.ts";
 import type { KeptAnswers } from "./keptAnswers.ts";
-import { getDutyNodeIds } from "./membership/getDutyNodeIds.ts";
+import { getAssignableNodeIds } from "./membership/getAssignableNodeIds.ts";
 import type { MembershipView } from "./membership/membershipView.ts";
 import type { RendezvousOwners } from "./membership/rendezvousOwners.ts";
 
@@ -46,7 +46,7 @@
 
     /** Gets the nodes that may have received the answer of a key, the most likely first. */
     getHolders(key: string): string[] {
-        const nodeIds = getDutyNodeIds(this.options.view).filter(nodeId => nodeId !== this.options.nodeId);
+        const nodeIds = getAssignableNodeIds(this.options.view).filter(nodeId => nodeId !== this.options.nodeId);
         return this.options.owners.getOwners(`kept-${key}`, nodeIds, holderCount);
     }
 
--- a/src/process/membership/configurationSpreader.ts
+++ b/src/process/membership/configurationDistributor.ts
@@ -24,8 +24,8 @@
 const maximumAttempts = 4;
 const firstRetryDelayMilliseconds = 200;
 
-/** Options of a {@link ConfigurationSpreader}. */
-interface ConfigurationSpreaderOptions {
+/** Options of a {@link ConfigurationDistributor}. */
+interface ConfigurationDistributorOptions {
     view: MembershipView;
     clock: Clock;
     random: RandomSource;
@@ -36,7 +36,7 @@
     ): Promise<Result<AnnounceConfigurationResponse, PeerError>>;
     callGet(address: string, request: GetConfigurationRequest): Promise<Result<GetConfigurationResponse, PeerError>>;
     /** Gets the node's current configuration, or undefined if there is none. */
-    getHeld(): ConfigurationText | undefined;
+    getCurrent(): ConfigurationText | undefined;
     /** Validates a peer's configuration and applies it if its version is higher than the current one. */
     offer(configuration: ConfigurationText): Promise<void> | void;
     /** Peers that a new version is announced to. Default 8, which is all peers of 9 nodes. */
@@ -48,8 +48,8 @@
  * peers, and a node that learns of a higher version fetches it. Heartbeats also carry the version and reach the nodes
  * that the announcements missed.
  */
-export class ConfigurationSpreader {
-    private readonly options: ConfigurationSpreaderOptions;
+export class ConfigurationDistributor {
+    private readonly options: ConfigurationDistributorOptions;
     private readonly rotation: PeerRotation;
     /** Addresses to fetch a version from, by version. */
     private readonly sources = new Map<number, string[]>();
@@ -58,14 +58,14 @@
     private announcedVersion = 0;
     private isStopped = false;
 
-    private constructor(options: ConfigurationSpreaderOptions) {
+    private constructor(options: ConfigurationDistributorOptions) {
         this.options = options;
         this.rotation = PeerRotation.create(options.random);
     }
 
     /** Creates an instance that does nothing until it is called. */
-    static create(options: ConfigurationSpreaderOptions): ConfigurationSpreader {
-        return new ConfigurationSpreader(options);
+    static create(options: ConfigurationDistributorOptions): ConfigurationDistributor {
+        return new ConfigurationDistributor(options);
     }
 
     /** Announces a version of this node to peers. Does nothing if this or a higher version was announced. */
@@ -110,7 +110,7 @@
 
     /** Handles a peer's GetConfiguration call. */
     handleGet(request: GetConfigurationRequest): GetConfigurationResponse {
-        const current = this.options.getHeld();
+        const current = this.options.getCurrent();
         if (current === undefined || BigInt(current.version) <= request.knownVersion) {
             return create(GetConfigurationResponseSchema, {});
         }
@@ -182,10 +182,10 @@
         const addresses = this.options.view.getMembers()
             .filter(member => member.nodeId !== self && member.state !== MemberState.Dead)
             .map(member => member.peerAddress);
-        return this.rotation.take(addresses, this.options.fanOut ?? defaultFanOut);
+        return this.rotation.select(addresses, this.options.fanOut ?? defaultFanOut);
     }
 
     private getCurrentVersion(): number {
-        return this.options.getHeld()?.version ?? 0;
+        return this.options.getCurrent()?.version ?? 0;
     }
 }
--- a/src/process/membership/contactChooser.ts
+++ b/src/process/membership/contactChooser.ts
@@ -65,19 +65,19 @@
             }
         }
         const count = peers.size <= this.options.fullMeshPeers ? peers.size : this.options.fanOut;
-        const chosen = this.rotation.take([...peers.keys()], count).map(nodeId => peers.get(nodeId));
+        const chosen = this.rotation.select([...peers.keys()], count).map(nodeId => peers.get(nodeId));
         return chosen.filter(member => member !== undefined).map(member => toContact(member, false));
     }
 
     /** Checks a suspect out of turn with a probability that makes a few of all nodes do so. */
-    noteSuspect(member: Member): void {
+    prioritizeSuspect(member: Member): void {
         if (this.options.random() * this.view.getAliveMembers().length < suspectCheckers) {
-            this.rotation.prefer(member.nodeId);
+            this.rotation.prioritize(member.nodeId);
         }
     }
 
     /** Records that a pull has succeeded. */
-    notePulled(): void {
+    recordPull(): void {
         this.hasPulled = true;
     }
 
--- a/src/process/membership/getDutyNodeIds.ts
+++ b/src/process/membership/getAssignableNodeIds.ts
@@ -6,7 +6,7 @@
  * suspected ones.
  * @param view - Membership view.
  */
-export function getDutyNodeIds(view: MembershipView): string[] {
+export function getAssignableNodeIds(view: MembershipView): string[] {
     const nodeIds: string[] = [];
     for (const member of view.getAliveMembers()) {
         if (member.state === MemberState.Alive) {
--- a/src/process/membership/gossipExchange.ts
+++ b/src/process/membership/gossipExchange.ts
@@ -80,7 +80,7 @@
     }
 
     /** Handles a peer's request. */
-    answer(request: GossipRequest, now: number): GossipResponse {
+    handleRequest(request: GossipRequest, now: number): GossipResponse {
         const received = memberCodec.decodeAll(request.members);
         this.view.applyRecords(received, now);
         this.view.noteContact(request.fromNodeId);
@@ -117,7 +117,7 @@
     }
 
     /** Records the configuration version in a known peer's response. */
-    noteVersion(nodeId: string, response: GossipResponse, now: number): void {
+    recordVersion(nodeId: string, response: GossipResponse, now: number): void {
         const member = this.view.getMember(nodeId);
         const configurationVersion = Number(response.configurationVersion);
         if (member !== undefined && configurationVersion > member.configurationVersion) {
--- a/src/process/membership/gossiper.ts
+++ b/src/process/membership/gossiper.ts
@@ -75,7 +75,7 @@
         this.unsubscribe = this.view.onChange(change => {
             logMemberChange(options.log, change, this.view.getSelf());
             if (change.member.state === MemberState.Suspect) {
-                this.chooser.noteSuspect(change.member);
+                this.chooser.prioritizeSuspect(change.member);
             }
         });
     }
@@ -106,7 +106,7 @@
     handleGossip(request: GossipRequest): GossipResponse {
         const now = this.options.clock.getMonotonicTime();
         this.lastContact = now;
-        return this.exchange.answer(request, now);
+        return this.exchange.handleRequest(request, now);
     }
 
     /** Marks this node as leaving and notifies one round of peers. Resolves when they have answered or failed to. */
@@ -167,7 +167,7 @@
         }
         else {
             this.view.noteContact(contact.nodeId);
-            this.exchange.noteVersion(contact.nodeId, result.val, now);
+            this.exchange.recordVersion(contact.nodeId, result.val, now);
         }
         return true;
     }
@@ -177,7 +177,7 @@
         if (result.err) {
             return;
         }
-        this.chooser.notePulled();
+        this.chooser.recordPull();
         this.exchange.applyResponse(result.val, contact.address, true, this.options.clock.getMonotonicTime());
     }
 }
--- a/src/process/membership/isWatcher.ts
+++ b/src/process/membership/isConfigurationWatcher.ts
@@ -12,7 +12,7 @@
  * @param owners - Assigns the watchers.
  * @param count - Number of watchers.
  */
-export function isWatcher(
+export function isConfigurationWatcher(
     nodeId: string,
     members: readonly Member[],
     owners: RendezvousOwners,
--- a/src/process/membership/unstretchedNodes.ts
+++ b/src/process/membership/maximumFullRateNodes.ts
@@ -1,2 +1,2 @@
 /** Most nodes for which all nodes contact each other and periodic background work runs at its full rate. */
-export const unstretchedNodes = 9;
+export const maximumFullRateNodes = 9;
--- a/src/process/membership/memberTimers.ts
+++ b/src/process/membership/memberTimers.ts
@@ -60,7 +60,7 @@
     }
 
     /** Records that this node raised the suspicion. */
-    noteOwnSuspicion(nodeId: string): void {
+    recordOwnSuspicion(nodeId: string): void {
         this.getTimes(nodeId).isOwnSuspicion = true;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Records an answer of a member. It cancels the deadline only for a leaving member. */
-    noteContact(nodeId: string, state: MemberState | undefined): void {
+    recordContact(nodeId: string, state: MemberState | undefined): void {
         const times = this.times.get(nodeId);
         if (times === undefined) {
             return;
@@ -87,7 +87,7 @@
     }
 
     /** Gets and removes the dead members whose retention has ended. */
-    takeForgotten(now: number): string[] {
+    takeExpiredDead(now: number): string[] {
         const removed = this.find(times => times.removeAt !== undefined && now >= times.removeAt);
         for (const nodeId of removed) {
             this.times.delete(nodeId);
--- a/src/process/membership/membershipView.ts
+++ b/src/process/membership/membershipView.ts
@@ -70,12 +70,12 @@
 
     /** Gets the addresses of the VM list that belong to no known member. */
     getSeedAddresses(): string[] {
-        return this.seeds.getUnresolved(this.members.values());
+        return this.seeds.getUnknownAddresses(this.members.values());
     }
 
     /** Gets the dead members that may be alive according to the VM list, for example after a partition. */
     getReconnectionCandidates(): Member[] {
-        return this.getMembers().filter(member => member.state === MemberState.Dead && this.seeds.mayLive(member));
+        return this.getMembers().filter(member => member.state === MemberState.Dead && this.seeds.mayBeAlive(member));
     }
 
     /**
@@ -123,7 +123,7 @@
                 this.applyRecord({ ...member, state: MemberState.Leaving }, now);
             }
         }
-        for (const vm of difference.gone) {
+        for (const vm of difference.removed) {
             const member = this.findByVm(vm);
             if (member?.state === MemberState.Suspect && member !== this.self) {
                 this.applyRecord({ ...member, state: MemberState.Dead }, now);
@@ -133,7 +133,7 @@
 
     /** Records that a seed has answered, so that it is not contacted again while its VM is listed. */
     noteSeedAnswered(address: string): void {
-        this.seeds.noteAnswered(address);
+        this.seeds.recordAnswer(address);
     }
 
     /** Sets the configuration version of this node. A lower one is ignored. */
@@ -162,7 +162,7 @@
         }
         if (member.state === MemberState.Alive) {
             this.applyRecord({ ...member, state: MemberState.Suspect }, now);
-            this.timers.noteOwnSuspicion(nodeId);
+            this.timers.recordOwnSuspicion(nodeId);
         }
         else if (member.state !== MemberState.Dead) {
             this.timers.startDeadline(nodeId, now);
@@ -171,7 +171,7 @@
 
     /** Records that a member answered. A suspicion has already spread, so it stays until the member refutes it. */
     noteContact(nodeId: string): void {
-        this.timers.noteContact(nodeId, this.members.get(nodeId)?.state);
+        this.timers.recordContact(nodeId, this.members.get(nodeId)?.state);
     }
 
     /**
@@ -185,7 +185,7 @@
                 this.applyRecord({ ...member, state: MemberState.Dead }, now);
             }
         }
-        for (const nodeId of this.timers.takeForgotten(now)) {
+        for (const nodeId of this.timers.takeExpiredDead(now)) {
             this.members.delete(nodeId);
         }
     }
--- a/src/process/membership/peerRotation.ts
+++ b/src/process/membership/peerRotation.ts
@@ -19,7 +19,7 @@
     }
 
     /** Prioritizes a member in the next selection. */
-    prefer(nodeId: string): void {
+    prioritize(nodeId: string): void {
         this.preferred.add(nodeId);
     }
 
@@ -28,7 +28,7 @@
      * @param nodeIds - Members that may be contacted.
      * @param count - Most members to select.
      */
-    take(nodeIds: readonly string[], count: number): string[] {
+    select(nodeIds: readonly string[], count: number): string[] {
         const allowed = new Set(nodeIds);
         const selected = new Set([...this.preferred].filter(nodeId => allowed.has(nodeId)).slice(0, count));
         this.preferred.clear();
--- a/src/process/membership/seedList.ts
+++ b/src/process/membership/seedList.ts
@@ -6,7 +6,7 @@
     /** VMs that are leaving and were not leaving in the previous list. */
     newlyLeaving: VmRecord[];
     /** VMs of the previous list that are no longer listed. */
-    gone: VmRecord[];
+    removed: VmRecord[];
 }
 
 /**
@@ -36,20 +36,20 @@
         this.vms = new Map(records.filter(record => record.role === "node").map(record => [record.vm, record]));
         const newlyLeaving = [...this.vms.values()]
             .filter(record => record.state === "leaving" && previous.get(record.vm)?.state !== "leaving");
-        const gone = [...previous.values()].filter(record => !this.vms.has(record.vm));
-        for (const record of gone) {
+        const removed = [...previous.values()].filter(record => !this.vms.has(record.vm));
+        for (const record of removed) {
             this.answered.delete(record.address);
         }
-        return { newlyLeaving, gone };
+        return { newlyLeaving, removed };
     }
 
     /** Records that an address has answered. */
-    noteAnswered(address: string): void {
+    recordAnswer(address: string): void {
         this.answered.add(address);
     }
 
     /** Gets the listed addresses that have not answered and belong to none of the members. */
-    getUnresolved(members: Iterable<Member>): string[] {
+    getUnknownAddresses(members: Iterable<Member>): string[] {
         const known = new Set<string>([this.ownAddress, ...this.answered]);
         for (const member of members) {
             known.add(member.peerAddress);
@@ -58,7 +58,7 @@
     }
 
     /** Gets if a member may be alive according to the list. Always true while the list is empty. */
-    mayLive(member: Member): boolean {
+    mayBeAlive(member: Member): boolean {
         if (this.vms.size === 0) {
             return true;
         }
--- a/src/process/membershipService.ts
+++ b/src/process/membershipService.ts
@@ -4,10 +4,10 @@
 import { reportOffer } from "../version/reportOffer.ts";
 import type { Clock, TimerHandle } from "./clock.ts";
 import type { EventLog } from "./logging/eventLog.ts";
-import { ConfigurationSpreader } from "./membership/configurationSpreader.ts";
+import { ConfigurationDistributor } from "./membership/configurationDistributor.ts";
 import { Gossiper } from "./membership/gossiper.ts";
 import type { GossipPayloads } from "./membership/gossipPayloads.ts";
-import { isWatcher } from "./membership/isWatcher.ts";
+import { isConfigurationWatcher } from "./membership/isConfigurationWatcher.ts";
 import type { MembershipView } from "./membership/membershipView.ts";
 import type { RendezvousOwners } from "./membership/rendezvousOwners.ts";
 import type { ListVms, VmRecord } from "./platform/vmList.ts";
@@ -43,7 +43,7 @@
  */
 export class MembershipService {
     readonly gossiper: Gossiper;
-    readonly spreader: ConfigurationSpreader;
+    readonly distributor: ConfigurationDistributor;
     private readonly options: MembershipServiceOptions;
     private timer: TimerHandle | undefined;
     private isStopped = false;
@@ -51,14 +51,14 @@
     private constructor(options: MembershipServiceOptions) {
         const { view, peers, clock, random, log, payloads, follower } = options;
         this.options = options;
-        this.spreader = ConfigurationSpreader.create({
+        this.distributor = ConfigurationDistributor.create({
             view,
             clock,
             random,
             log,
             callAnnounce: (address, request) => peers.announceConfiguration(address, request),
             callGet: (address, request) => peers.getConfiguration(address, request),
-            getHeld: () => follower.getCurrent(),
+            getCurrent: () => follower.getCurrent(),
             offer: offer => reportOffer(log, "peer", offer, follower.offer(offer)),
         });
         this.gossiper = Gossiper.create({
@@ -68,7 +68,7 @@
             random,
             log,
             callGossip: (address, request) => peers.gossip(address, request),
-            onPeerConfigurationVersion: (version, address) => void this.spreader.pull(version, address),
+            onPeerConfigurationVersion: (version, address) => void this.distributor.pull(version, address),
         });
         view.onChange(change => {
             if (!change.isVersionOnly) {
@@ -101,7 +101,7 @@
         this.isStopped = true;
         this.timer?.cancel();
         this.gossiper.stop();
-        this.spreader.stop();
+        this.distributor.stop();
     }
 
     /** Adds the seed addresses as VMs, until the list of VMs has been read for the first time. */
@@ -131,7 +131,7 @@
 
     private updateDuties(): void {
         const { view, owners, watcher, onMembersChanged } = this.options;
-        watcher.setWatching(isWatcher(view.getSelf().nodeId, view.getAliveMembers(), owners));
+        watcher.setWatching(isConfigurationWatcher(view.getSelf().nodeId, view.getAliveMembers(), owners));
         onMembersChanged();
     }
 }
--- a/tests/process/claims/claimInterleavings.test.ts
+++ b/tests/process/claims/claimInterleavings.test.ts
@@ -6,7 +6,7 @@
 import type { ClaimVerdict } from "../../../src/process/claims/claimVerdict.ts";
 import { GrantLedger } from "../../../src/process/claims/grantLedger.ts";
 import { createTestKey } from "./createTestKey.ts";
-import { createScheduledStore, type Fate } from "./scheduledStore.ts";
+import { type CallBehavior, createScheduledStore } from "./scheduledStore.ts";
 import { ScheduledTime } from "./scheduledTime.ts";
 
 const hour = 3_600_000;
@@ -39,8 +39,8 @@
 }
 
 const callBehavior = fc.oneof(
-    { weight: 8, arbitrary: fc.constant<Fate>("answered") },
-    { weight: 4, arbitrary: fc.constantFrom<Fate>("lostAnswer", "lostRequest", "lateWrite", "notDone") },
+    { weight: 8, arbitrary: fc.constant<CallBehavior>("answered") },
+    { weight: 4, arbitrary: fc.constantFrom<CallBehavior>("lostAnswer", "lostRequest", "lateWrite", "notDone") },
 );
 const step: fc.Arbitrary<Step> = fc.record({
     passMilliseconds: fc.constantFrom(0, 0, 1, 5, 5, 20, 20, 20, 20, 200, longPause),
@@ -54,9 +54,14 @@
 const skews = fc.array(fc.constantFrom(0, 0, -hour, hour, -30_000), { minLength: owners, maxLength: owners });
 
 /** Runs the steps in one interleaving and gets all answers. */
-async function run(scheduler: fc.Scheduler, steps: Step[], behaviors: Fate[], skewOf: number[]): Promise<Answer[]> {
+async function run(
+    scheduler: fc.Scheduler,
+    steps: Step[],
+    behaviors: CallBehavior[],
+    skewOf: number[],
+): Promise<Answer[]> {
     const time = ScheduledTime.create(scheduler);
-    const grants = GrantLedger.create({ rememberMilliseconds: Infinity });
+    const grants = GrantLedger.create({ retentionMilliseconds: Infinity });
     const store = createScheduledStore(scheduler, () => behaviors.pop() ?? "answered");
     const nodes = skewOf.map((skew, index) =>
         ClaimOwner.create({
--- a/tests/process/claims/claimParts.test.ts
+++ b/tests/process/claims/claimParts.test.ts
@@ -63,19 +63,19 @@
     it("drops expired claims and refuses their keys if the wall clock steps back", () => {
         const ring = ClaimRing.create({ size: 4, windowMilliseconds });
         const claim = { key: createTestKey(now), bodyHash: "", claimant: "x", nodeId: "" };
-        ring.learn(0, 1, { number: 0, batchId: "", writtenAt: now, horizon: -1, claims: [claim] });
-        ring.dropPast(now + windowMilliseconds + 60_000);
+        ring.applyBatch(0, 1, { number: 0, batchId: "", writtenAt: now, horizon: -1, claims: [claim] });
+        ring.dropExpired(now + windowMilliseconds + 60_000);
         assert.equal(ring.getClaimCount(), 1);
-        ring.dropPast(now + windowMilliseconds + 60_001);
+        ring.dropExpired(now + windowMilliseconds + 60_001);
         assert.equal(ring.getClaimCount(), 0);
-        assert.ok(ring.isForgotten(now));
-        assert.ok(!ring.isForgotten(now + 1));
+        assert.ok(ring.isBelowHorizon(now));
+        assert.ok(!ring.isBelowHorizon(now + 1));
     });
 });
 
 describe("GrantLedger", () => {
     it("throws if a key is granted to a second claimant during the retention", () => {
-        const ledger = GrantLedger.create({ rememberMilliseconds: 10 });
+        const ledger = GrantLedger.create({ retentionMilliseconds: 10 });
         ledger.record("key", "x", 0);
         ledger.record("key", "x", 1);
         assert.throws(() => ledger.record("key", "y", 9), InvariantError);
--- a/tests/process/claims/scheduledStore.ts
+++ b/tests/process/claims/scheduledStore.ts
@@ -5,7 +5,7 @@
 import { MemoryStore } from "../../support/memoryStore.ts";
 
 /** Simulated behavior of a store call. */
-export type Fate = "answered" | "lostAnswer" | "lostRequest" | "lateWrite" | "notDone";
+export type CallBehavior = "answered" | "lostAnswer" | "lostRequest" | "lateWrite" | "notDone";
 
 const unknown: PlatformError = { kind: PlatformErrorKind.OutcomeUnknown, message: "The answer was lost." };
 const notDone: PlatformError = { kind: PlatformErrorKind.NotDone, message: "The store is down." };
@@ -14,7 +14,7 @@
  * Creates a store whose calls take effect and respond in the order chosen by fast-check's scheduler. A late write may take
  * effect at any time, also after its caller received an unknown outcome.
  */
-export function createScheduledStore(scheduler: fc.Scheduler, getNextBehavior: () => Fate): PlatformStore {
+export function createScheduledStore(scheduler: fc.Scheduler, getNextBehavior: () => CallBehavior): PlatformStore {
     const memory = MemoryStore.create();
     async function run<T>(call: () => Promise<T>, label: string): Promise<T | ReturnType<typeof Err<PlatformError>>> {
         const behavior = getNextBehavior();
--- a/tests/process/membership/configurationSpreader.test.ts
+++ b/tests/process/membership/configurationDistributor.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { beforeEach, describe, it } from "node:test";
 import { PeerErrorKind } from "../../../src/connection/peer/peerErrorKind.ts";
-import { ConfigurationSpreader } from "../../../src/process/membership/configurationSpreader.ts";
+import { ConfigurationDistributor } from "../../../src/process/membership/configurationDistributor.ts";
 import type { ConfigurationText } from "../../../src/process/membership/configurationText.ts";
 import { MembershipView } from "../../../src/process/membership/membershipView.ts";
 import { Err, Ok } from "../../../src/result.ts";
@@ -20,7 +20,7 @@
     let announced: string[];
     let failingAddresses: Set<string>;
     let retries: (() => void)[];
-    let distributor: ConfigurationSpreader;
+    let distributor: ConfigurationDistributor;
 
     beforeEach(() => {
         current = { version: 4, editId: "e4", text: "{}" };
@@ -32,7 +32,7 @@
         const view = MembershipView.create({ nodeId: "self", peerAddress: "s:1", dataCentre: "a", incarnation: 1 });
         const member = { incarnation: 1, state: "alive" as const, dataCentre: "a", configurationVersion: 4 };
         view.applyRecords([{ ...member, nodeId: "b", peerAddress: "b:1" }], 0);
-        distributor = ConfigurationSpreader.create({
+        distributor = ConfigurationDistributor.create({
             view,
             random: () => 0,
             log: { write: () => undefined },
@@ -54,7 +54,7 @@
                     ? failure
                     : Ok(create(GetConfigurationResponseSchema, { version: 5n, editId: "e5", text: "{}" }));
             },
-            getHeld: () => current,
+            getCurrent: () => current,
             offer: configuration => {
                 offered.push(configuration.version);
                 current = configuration;
--- a/tests/process/membership/gossiper.test.ts
+++ b/tests/process/membership/gossiper.test.ts
@@ -16,7 +16,7 @@
             vm: "node-0",
             state: "live",
             role: "node",
-            address: first.relay.getAddress(),
+            address: first.proxy.getAddress(),
             dataCentre: "a",
         };
         for (const node of nodes) {
@@ -27,7 +27,7 @@
             "all nodes know each other",
             () => nodes.every(node => node.view.getAliveMembers().length === nodeCount),
         );
-        const hasAllConnections = (node: TestNode): boolean => node.relay.getConnectionCount() >= nodeCount - 1;
+        const hasAllConnections = (node: TestNode): boolean => node.proxy.getConnectionCount() >= nodeCount - 1;
         await waitUntil("all nodes are connected to each other", () => nodes.every(hasAllConnections));
     });
 
@@ -45,7 +45,7 @@
         const silent = getNode(4);
         const others = nodes.slice(0, 4);
         silent.gossiper.stop();
-        silent.relay.freezeAll();
+        silent.proxy.freezeAll();
         await waitUntil("all consider it dead", () => others.every(node => node.getStateOf(silent) === "dead"));
         for (const node of others) {
             assert.equal(node.view.getAliveMembers().length, nodeCount - 1);
@@ -59,9 +59,9 @@
         for (const other of nodes) {
             other.view.onChange(change => change.member.state === "dead" && deaths.push(change.member.nodeId));
         }
-        node.relay.freeze();
-        const bytes = node.relay.getByteCount();
-        await waitUntil("new connections carry calls", () => node.relay.getByteCount() > bytes + 10_000);
+        node.proxy.freeze();
+        const bytes = node.proxy.getByteCount();
+        await waitUntil("new connections carry calls", () => node.proxy.getByteCount() > bytes + 10_000);
         await waitUntil("all consider it alive", () => nodes.every(other => other.getStateOf(node) === "alive"));
         assert.deepEqual(deaths, []);
     });
@@ -77,11 +77,11 @@
     it("distributes a version to all nodes, once each and never a lower one", async () => {
         for (const version of [1, 3, 2]) {
             getNode(version).accept({ version, editId: `edit-${version}`, text: `{ /* ${version} */ }` });
-            getNode(version).spreader.announce(version);
+            getNode(version).distributor.announce(version);
         }
-        await waitUntil("all have version 3", () => nodes.every(node => node.held?.version === 3));
+        await waitUntil("all have version 3", () => nodes.every(node => node.configuration?.version === 3));
         for (const node of nodes) {
-            assert.equal(node.held?.editId, "edit-3");
+            assert.equal(node.configuration?.editId, "edit-3");
             assert.deepEqual(node.offered, [...new Set(node.offered)].sort());
         }
     });
--- a/tests/process/membership/rendezvousOwners.test.ts
+++ b/tests/process/membership/rendezvousOwners.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { isWatcher } from "../../../src/process/membership/isWatcher.ts";
+import { isConfigurationWatcher } from "../../../src/process/membership/isConfigurationWatcher.ts";
 import type { Member } from "../../../src/process/membership/member.ts";
 import { RendezvousOwners } from "../../../src/process/membership/rendezvousOwners.ts";
 
@@ -39,7 +39,8 @@
     it("chooses three watchers, or all nodes if there are fewer", async () => {
         const owners = await RendezvousOwners.create();
         const members = nodeIds.map(nodeId => ({ nodeId }) as Member);
-        const count = (of: Member[]): number => of.filter(member => isWatcher(member.nodeId, of, owners)).length;
+        const count = (of: Member[]): number =>
+            of.filter(member => isConfigurationWatcher(member.nodeId, of, owners)).length;
         assert.equal(count(members), 3);
         assert.equal(count(members.slice(0, 2)), 2);
     });
--- a/tests/process/membership/testNode.ts
+++ b/tests/process/membership/testNode.ts
@@ -1,6 +1,6 @@
 import { PeerConnections } from "../../../src/connection/peer/peerConnections.ts";
 import { PeerServer } from "../../../src/connection/peer/peerServer.ts";
-import { ConfigurationSpreader } from "../../../src/process/membership/configurationSpreader.ts";
+import { ConfigurationDistributor } from "../../../src/process/membership/configurationDistributor.ts";
 import type { ConfigurationText } from "../../../src/process/membership/configurationText.ts";
 import { Gossiper } from "../../../src/process/membership/gossiper.ts";
 import { MembershipView } from "../../../src/process/membership/membershipView.ts";
@@ -13,16 +13,16 @@
 /** Membership of a node over real loopback connections. All calls to the node pass through its proxy. */
 export class TestNode {
     readonly view: MembershipView;
-    readonly relay: LoopbackProxy;
+    readonly proxy: LoopbackProxy;
     readonly gossiper: Gossiper;
-    readonly spreader: ConfigurationSpreader;
+    readonly distributor: ConfigurationDistributor;
     readonly offered: number[] = [];
-    held: ConfigurationText | undefined;
+    configuration: ConfigurationText | undefined;
     private readonly connections: PeerConnections;
     private server: PeerServer | undefined;
 
     private constructor(nodeId: string, proxy: LoopbackProxy) {
-        this.relay = proxy;
+        this.proxy = proxy;
         this.connections = PeerConnections.create({ secret, log, timeoutMilliseconds: 250 });
         this.view = MembershipView.create({
             nodeId,
@@ -33,12 +33,12 @@
         });
         const { view, connections } = this;
         const common = { view, log, clock: systemClock, random: Math.random };
-        this.spreader = ConfigurationSpreader.create({
+        this.distributor = ConfigurationDistributor.create({
             ...common,
             fanOut: 2,
             callAnnounce: (address, request) => connections.announceConfiguration(address, request),
             callGet: (address, request) => connections.getConfiguration(address, request),
-            getHeld: () => this.held,
+            getCurrent: () => this.configuration,
             offer: configuration => this.accept(configuration),
         });
         this.gossiper = Gossiper.create({
@@ -51,7 +51,7 @@
                 applyDemandRecords: () => undefined,
             },
             callGossip: (address, request) => connections.gossip(address, request),
-            onPeerConfigurationVersion: (version, address) => void this.spreader.pull(version, address),
+            onPeerConfigurationVersion: (version, address) => void this.distributor.pull(version, address),
         });
     }
 
@@ -64,8 +64,8 @@
             log,
             handlers: {
                 gossip: async request => node.gossiper.handleGossip(request),
-                announceConfiguration: async request => node.spreader.handleAnnounce(request),
-                getConfiguration: async request => node.spreader.handleGet(request),
+                announceConfiguration: async request => node.distributor.handleAnnounce(request),
+                getConfiguration: async request => node.distributor.handleGet(request),
                 claim: async () => ({}),
                 getKeptAnswer: async () => ({}),
                 takeKeptAnswers: async () => ({}),
@@ -77,8 +77,8 @@
 
     accept(configuration: ConfigurationText): void {
         this.offered.push(configuration.version);
-        if (configuration.version > (this.held?.version ?? 0)) {
-            this.held = configuration;
+        if (configuration.version > (this.configuration?.version ?? 0)) {
+            this.configuration = configuration;
             this.view.setConfigurationVersion(configuration.version);
         }
     }
@@ -89,9 +89,9 @@
 
     async close(): Promise<void> {
         this.gossiper.stop();
-        this.spreader.stop();
+        this.distributor.stop();
         this.connections.close();
-        await this.relay.close();
+        await this.proxy.close();
         await this.server?.close(0);
     }
 }
