--- a/src/connection/caller/answerWriter.ts
+++ b/src/connection/caller/answerWriter.ts
@@ -58,7 +58,7 @@
      * Waits until the response is sent or its connection is closed.
      * @param signal - Ends the wait.
      */
-    async waitUntilTaken(signal: AbortSignal): Promise<void> {
+    async waitUntilSent(signal: AbortSignal): Promise<void> {
         const { response } = this;
         if (response.writableFinished || response.destroyed || signal.aborted) {
             return;
@@ -71,7 +71,7 @@
     }
 
     /** Destroys the connection, so that the caller can't mistake a partial answer for a complete one. */
-    cutOff(): void {
+    abort(): void {
         this.response.destroy();
     }
 
@@ -82,7 +82,12 @@
      * @param body - The body.
      * @param headers - Additional headers.
      */
-    sendWhole(status: number, contentType: string, body: string | Buffer, headers: Record<string, string> = {}): void {
+    sendResponse(
+        status: number,
+        contentType: string,
+        body: string | Buffer,
+        headers: Record<string, string> = {},
+    ): void {
         this.assertNoFinalAnswer();
         const { response } = this;
         if (!response.destroyed) {
@@ -143,7 +148,7 @@
             this.endStream([body]);
             return;
         }
-        this.sendWhole(error.status, "application/json", body, { ...headers, ...createRetryHeaders(error) });
+        this.sendResponse(error.status, "application/json", body, { ...headers, ...createRetryHeaders(error) });
     }
 
     private flush(): void {
--- a/src/connection/caller/callerServer.ts
+++ b/src/connection/caller/callerServer.ts
@@ -9,16 +9,16 @@
 import type { RequestContext } from "../../request/requestContext.ts";
 import { RequestError } from "../../request/requestError.ts";
 import { Err, type Result } from "../../result.ts";
-import { answerModels } from "./answerModels.ts";
 import { AnswerWriter } from "./answerWriter.ts";
 import { CallerConnections } from "./callerConnections.ts";
 import type { CallerServerOptions } from "./callerServerOptions.ts";
 import { createForwardedHeaders } from "./createForwardedHeaders.ts";
 import { createHttpServer } from "./createHttpServer.ts";
 import { createRequestContext } from "./createRequestContext.ts";
-import { describeCrash } from "./describeCrash.ts";
 import { getServicePath } from "./getServicePath.ts";
+import { handleModels } from "./handleModels.ts";
 import { readBody } from "./readBody.ts";
+import { reportCrash } from "./reportCrash.ts";
 import { RunningRequests } from "./runningRequests.ts";
 
 /** Answers one kind of request, or returns the error to send. */
@@ -101,7 +101,7 @@
             });
         });
         router.on("GET", "/v1/models", (request, response) => {
-            void this.serve(request, response, "models", (context, _body, writer) => answerModels(context, writer));
+            void this.serve(request, response, "models", (context, _body, writer) => handleModels(context, writer));
         });
         router.on([...allMethods], "/v1/services/:service/*", (request, response, parameters) => {
             const service = parameters["service"] ?? "";
@@ -154,7 +154,7 @@
         const result = await this.answer(request, response, arrivedAt, signal, writer, handler);
         const outcome = this.finish(result, writer);
         this.observe(label, outcome, arrivedAt);
-        await writer.waitUntilTaken(signal);
+        await writer.waitUntilSent(signal);
         this.running.remove();
     }
 
@@ -168,8 +168,8 @@
             writer.assertFinalAnswer();
         }
         catch (crash) {
-            describeCrash(this.options.environment, "", crash);
-            writer.cutOff();
+            reportCrash(this.options.environment, "", crash);
+            writer.abort();
             return Outcome.Failed;
         }
         return error?.outcome ?? Outcome.Finished;
@@ -215,7 +215,7 @@
             return signal.aborted ? Err(RequestError.cancelled()) : await handler(context.val, body.val, writer);
         }
         catch (error) {
-            return Err(describeCrash(environment, context.val.id, error));
+            return Err(reportCrash(environment, context.val.id, error));
         }
         finally {
             span.end();
--- a/src/connection/caller/answerModels.ts
+++ b/src/connection/caller/handleModels.ts
@@ -8,13 +8,13 @@
  * @param context - Context of the request.
  * @param writer - Writer of the final answer.
  */
-export function answerModels(context: RequestContext, writer: AnswerWriter): Promise<Result<void, RequestError>> {
+export function handleModels(context: RequestContext, writer: AnswerWriter): Promise<Result<void, RequestError>> {
     const data: object[] = [];
     for (const [id, service] of Object.entries(context.version.configuration.services)) {
         if (service.kind === "model") {
             data.push({ id, object: "model", owned_by: "foxlead" });
         }
     }
-    writer.sendWhole(200, "application/json", JSON.stringify({ object: "list", data }));
+    writer.sendResponse(200, "application/json", JSON.stringify({ object: "list", data }));
     return Promise.resolve(Ok.EMPTY);
 }
--- a/src/connection/caller/describeCrash.ts
+++ b/src/connection/caller/reportCrash.ts
@@ -9,7 +9,7 @@
  * @param request - ID of the request, or an empty string if it is unknown.
  * @param error - The thrown value.
  */
-export function describeCrash(
+export function reportCrash(
     environment: Pick<RequestEnvironment, "log" | "metrics">,
     request: string,
     error: unknown,
--- a/src/connection/endpoint/endpointDirectory.ts
+++ b/src/connection/endpoint/endpointDirectory.ts
@@ -2,9 +2,9 @@
 import type { VmRecord } from "../../process/platform/vmList.ts";
 import type { Configuration, EndpointConfiguration } from "../../version/configuration.ts";
 import { DocumentConnection } from "../document/documentConnection.ts";
-import { EndpointBelief } from "./endpointBelief.ts";
 import type { EndpointObservation } from "./endpointObservation.ts";
 import type { EndpointState } from "./endpointState.ts";
+import { EndpointStateTracker } from "./endpointStateTracker.ts";
 import { EngineConnection, type EngineConnectionOptions } from "./engineConnection.ts";
 import type { EngineStatus } from "./engineProtocol.ts";
 
@@ -21,7 +21,7 @@
 interface EndpointEntry {
     name: string;
     configuration: EndpointConfiguration;
-    tracker: EndpointBelief;
+    tracker: EndpointStateTracker;
     engine?: EngineConnection;
     document?: DocumentConnection;
 }
@@ -169,7 +169,7 @@
         }
     }
 
-    private updateState(name: string, update: (tracker: EndpointBelief) => void): void {
+    private updateState(name: string, update: (tracker: EndpointStateTracker) => void): void {
         const entry = this.entries.get(name);
         if (entry === undefined) {
             return;
@@ -189,7 +189,7 @@
             entry.tracker.setConfiguredLayers(configuration.layers);
             return;
         }
-        const tracker = EndpointBelief.create(name, configuration.layers);
+        const tracker = EndpointStateTracker.create(name, configuration.layers);
         const connections = this.createConnections(name, configuration);
         this.entries.set(name, { name, configuration, tracker, ...connections });
         this.namesByAddress.set(configuration.address, name);
--- a/src/connection/endpoint/endpointBelief.ts
+++ b/src/connection/endpoint/endpointStateTracker.ts
@@ -11,7 +11,7 @@
  * peers and the VM list of the platform. One source that reports "leaving" is sufficient. The VM list and the other
  * sources are tracked separately, so that neither cancels a "leaving" of the other.
  */
-export class EndpointBelief {
+export class EndpointStateTracker {
     private readonly endpoint: string;
     private layers: readonly LayerRange[];
     private hasReportedLayers = false;
@@ -26,8 +26,8 @@
     }
 
     /** Creates the initial state: serving, with the layers of the configuration. */
-    static create(endpoint: string, layers: readonly LayerRange[]): EndpointBelief {
-        return new EndpointBelief(endpoint, layers);
+    static create(endpoint: string, layers: readonly LayerRange[]): EndpointStateTracker {
+        return new EndpointStateTracker(endpoint, layers);
     }
 
     getState(): EndpointState {
--- a/src/connection/endpoint/engineConnection.ts
+++ b/src/connection/endpoint/engineConnection.ts
@@ -1,17 +1,17 @@
 import type { Clock } from "../../process/clock.ts";
 import { Err, Ok, type Result } from "../../result.ts";
-import type { BatchClosing } from "./batchClosing.ts";
+import type { BatchCloseInfo } from "./batchCloseInfo.ts";
 import { createPassFailure } from "./createPassFailure.ts";
 import { EngineCalls } from "./engineCalls.ts";
 import { EnginePool } from "./enginePool.ts";
 import type { CancelOrder, EngineOrder, EngineStatus, Pass, PassResult } from "./engineProtocol.ts";
 import { EngineReachability } from "./engineReachability.ts";
-import { HopDeadline } from "./hopDeadline.ts";
+import { PassDeadline } from "./passDeadline.ts";
 import type { PassFailure } from "./passFailure.ts";
+import type { PendingPass } from "./pendingPass.ts";
 import { PrefillWindow } from "./prefillWindow.ts";
 import { probeEngine } from "./probeEngine.ts";
 import { sendPassBatch } from "./sendPassBatch.ts";
-import type { WaitingPass } from "./waitingPass.ts";
 
 /** Options of an {@link EngineConnection}. */
 export interface EngineConnectionOptions {
@@ -43,12 +43,12 @@
 export class EngineConnection {
     private readonly options: EngineConnectionOptions;
     private readonly origin: string;
-    private readonly deadline = HopDeadline.create();
+    private readonly deadline = PassDeadline.create();
     /** Passes without a result, by ID. */
-    private readonly pendingPasses = new Map<number, WaitingPass>();
+    private readonly pendingPasses = new Map<number, PendingPass>();
     private readonly prefillWindow = PrefillWindow.create(maximumPrefillPositions);
     /** Passes of the next batch. */
-    private nextBatch: WaitingPass[] = [];
+    private nextBatch: PendingPass[] = [];
     private readonly pool: EnginePool;
     private readonly calls: EngineCalls;
     private nextId = 1;
@@ -156,13 +156,13 @@
         pass: Pass,
         positions: number,
         settle: (outcome: Result<PassResult, PassFailure>) => void,
-    ): WaitingPass {
+    ): PendingPass {
         return {
             pass,
             positions,
             sentAt: [],
             mayHaveArrived: false,
-            isDoubtful: false,
+            isBeingProbed: false,
             settle,
             cancelTimer: () => undefined,
         };
@@ -174,7 +174,7 @@
         }
     }
 
-    private enqueue(pendingPass: WaitingPass): void {
+    private enqueue(pendingPass: PendingPass): void {
         this.nextBatch.push(pendingPass);
         if (this.nextBatch.length === 1) {
             setImmediate(() => this.flush());
@@ -193,7 +193,7 @@
         this.sendBatch(batch);
     }
 
-    private startDeadline(pendingPass: WaitingPass): void {
+    private startDeadline(pendingPass: PendingPass): void {
         const sends = pendingPass.sentAt.push(this.options.clock.getMonotonicTime());
         const deadlineMilliseconds = this.deadline.getDeadline(pendingPass.positions) * sends;
         const timer = this.options.clock.setTimer(
@@ -203,10 +203,10 @@
         pendingPass.cancelTimer = () => timer.cancel();
     }
 
-    private sendBatch(batch: WaitingPass[]): void {
+    private sendBatch(batch: PendingPass[]): void {
         const sends = new Map(batch.map(pendingPass => [pendingPass.pass.id, pendingPass.sentAt.length]));
         sendPassBatch({
-            pool: this.pool.getDispatcher(),
+            dispatcher: this.pool.getDispatcher(),
             passes: batch.map(pendingPass => pendingPass.pass),
             onResult: result => this.handleResult(result, sends.get(result.id)),
             onClosed: closing => this.handleBatchClosed(batch, sends, closing),
@@ -234,9 +234,9 @@
 
     /** Handles the end of a batch's response: passes without a result are sent again if the engine still answers. */
     private handleBatchClosed(
-        batch: readonly WaitingPass[],
+        batch: readonly PendingPass[],
         sends: ReadonlyMap<number, number>,
-        closing: BatchClosing,
+        closing: BatchCloseInfo,
     ): void {
         for (const pendingPass of batch) {
             const isCurrentSend = pendingPass.sentAt.length === sends.get(pendingPass.pass.id);
@@ -247,7 +247,7 @@
         }
     }
 
-    private async handleDeadlineExceeded(pendingPass: WaitingPass): Promise<void> {
+    private async handleDeadlineExceeded(pendingPass: PendingPass): Promise<void> {
         pendingPass.mayHaveArrived = true;
         const dispatcher = this.pool.getDispatcher();
         await this.resendOrFail(pendingPass, "no response before the deadline", () => {
@@ -258,14 +258,14 @@
         });
     }
 
-    private async resendOrFail(pendingPass: WaitingPass, reason: string, onAnswering?: () => void): Promise<void> {
-        if (pendingPass.isDoubtful) {
+    private async resendOrFail(pendingPass: PendingPass, reason: string, onAnswering?: () => void): Promise<void> {
+        if (pendingPass.isBeingProbed) {
             return;
         }
-        pendingPass.isDoubtful = true;
+        pendingPass.isBeingProbed = true;
         pendingPass.cancelTimer();
         const isAnswering = pendingPass.sentAt.length < maximumSends && await this.isAnswering();
-        pendingPass.isDoubtful = false;
+        pendingPass.isBeingProbed = false;
         if (!this.pendingPasses.has(pendingPass.pass.id)) {
             return;
         }
@@ -278,7 +278,7 @@
         this.enqueue(pendingPass);
     }
 
-    private settle(pendingPass: WaitingPass, outcome: Result<PassResult, PassFailure>): void {
+    private settle(pendingPass: PendingPass, outcome: Result<PassResult, PassFailure>): void {
         pendingPass.cancelTimer();
         this.pendingPasses.delete(pendingPass.pass.id);
         pendingPass.settle(outcome);
@@ -290,7 +290,7 @@
 
     private failAll(reason: string): void {
         for (const pendingPass of this.pendingPasses.values()) {
-            const isInFlight = pendingPass.sentAt.length > 0 && !pendingPass.isDoubtful;
+            const isInFlight = pendingPass.sentAt.length > 0 && !pendingPass.isBeingProbed;
             const mayHaveArrived = pendingPass.mayHaveArrived || isInFlight;
             this.settle(pendingPass, Err(this.createFailure(mayHaveArrived ? "unreachable" : "notSent", reason)));
         }
--- a/src/connection/endpoint/hopDeadline.ts
+++ b/src/connection/endpoint/passDeadline.ts
@@ -22,7 +22,7 @@
  * Learns how long to wait for the result of a pass of one endpoint before its connection is checked by a probe.
  * Decode passes (one position) and prefill passes (time per position) have separate averages.
  */
-export class HopDeadline {
+export class PassDeadline {
     private readonly decode: MovingAverage = {
         mean: initialDecodeMilliseconds,
         deviation: initialDecodeMilliseconds / 2,
@@ -35,8 +35,8 @@
     private constructor() {}
 
     /** Creates a deadline from the initial estimates. */
-    static create(): HopDeadline {
-        return new HopDeadline();
+    static create(): PassDeadline {
+        return new PassDeadline();
     }
 
     /**
--- a/src/connection/endpoint/waitingPass.ts
+++ b/src/connection/endpoint/pendingPass.ts
@@ -3,7 +3,7 @@
 import type { PassFailure } from "./passFailure.ts";
 
 /** A pass that is queued for an engine or in flight, and has no result yet. */
-export interface WaitingPass {
+export interface PendingPass {
     pass: Pass;
     /** Number of positions that the pass covers, as far as known. */
     positions: number;
@@ -12,7 +12,7 @@
     /** Whether a byte of the pass may have reached the engine. */
     mayHaveArrived: boolean;
     /** Whether the pass waits for a probe, which decides if it is sent again or fails. */
-    isDoubtful: boolean;
+    isBeingProbed: boolean;
     settle(outcome: Result<PassResult, PassFailure>): void;
     cancelTimer(): void;
 }
--- a/src/connection/endpoint/prefillWindow.ts
+++ b/src/connection/endpoint/prefillWindow.ts
@@ -1,4 +1,4 @@
-import type { WaitingPass } from "./waitingPass.ts";
+import type { PendingPass } from "./pendingPass.ts";
 
 /**
  * Limits the number of positions of prefill passes (prompts and rebuilt contexts) that are in flight to one engine, as
@@ -10,8 +10,8 @@
  */
 export class PrefillWindow {
     private readonly maximumPositions: number;
-    private readonly inFlight = new Set<WaitingPass>();
-    private queued: WaitingPass[] = [];
+    private readonly inFlight = new Set<PendingPass>();
+    private queued: PendingPass[] = [];
     private inFlightPositions = 0;
 
     private constructor(maximumPositions: number) {
@@ -30,7 +30,7 @@
      * Queues a prefill pass. Rebuilt contexts precede new prompts, because their callers have received part of the
      * answer.
      */
-    add(pendingPass: WaitingPass): void {
+    add(pendingPass: PendingPass): void {
         const firstPrompt = pendingPass.pass.rebuild === true
             ? this.queued.findIndex(other => other.pass.rebuild !== true)
             : -1;
@@ -38,8 +38,8 @@
     }
 
     /** Removes and returns the queued passes that may be sent now, in order. */
-    takeReady(): WaitingPass[] {
-        const ready: WaitingPass[] = [];
+    takeReady(): PendingPass[] {
+        const ready: PendingPass[] = [];
         for (const pendingPass of this.queued) {
             const fitsInWindow = this.inFlightPositions + pendingPass.positions <= this.maximumPositions;
             if (!fitsInWindow && this.inFlight.size > 0) {
@@ -54,7 +54,7 @@
     }
 
     /** Removes a settled pass, in flight or queued. Does nothing if the window doesn't contain it. */
-    remove(pendingPass: WaitingPass): void {
+    remove(pendingPass: PendingPass): void {
         if (this.inFlight.delete(pendingPass)) {
             this.inFlightPositions -= pendingPass.positions;
             return;
--- a/src/connection/endpoint/sendPassBatch.ts
+++ b/src/connection/endpoint/sendPassBatch.ts
@@ -1,18 +1,18 @@
 import type { Dispatcher } from "undici";
 import { LineSplitter } from "../lineSplitter.ts";
-import type { BatchClosing } from "./batchClosing.ts";
+import type { BatchCloseInfo } from "./batchCloseInfo.ts";
 import type { Pass, PassResult } from "./engineProtocol.ts";
 import { isConnectFailure } from "./isConnectFailure.ts";
 import { passResultSchema } from "./passResultSchema.ts";
 
 /** Options of {@link sendPassBatch}. */
 interface PassBatchOptions {
-    pool: Dispatcher;
+    dispatcher: Dispatcher;
     passes: readonly Pass[];
     /** Called for each result as it arrives. */
     onResult(result: PassResult): void;
     /** Called once when the response has ended, with or without all results. */
-    onClosed(closing: BatchClosing): void;
+    onClosed(closing: BatchCloseInfo): void;
 }
 
 /** A result line contains the activations of a whole prompt. */
@@ -36,7 +36,7 @@
 }
 
 async function readResponse(options: PassBatchOptions, splitter: LineSplitter, signal: AbortSignal): Promise<string> {
-    const response = await options.pool.request({
+    const response = await options.dispatcher.request({
         method: "POST",
         path: "/v1/passes",
         body: JSON.stringify({ passes: options.passes }),
--- a/src/connection/upstream/upstreamConnection.ts
+++ b/src/connection/upstream/upstreamConnection.ts
@@ -18,9 +18,9 @@
      */
     barrier: Pick<InputBarrier, "pass">;
     /** Called when the connection is idle again. */
-    onFree(): void;
+    onIdle(): void;
     /** Called when the connection is closed. */
-    onGone(): void;
+    onClosed(): void;
 }
 
 /** Maximum time for which an idle connection is kept. The endpoint may announce a shorter one. */
@@ -169,7 +169,7 @@
 
     private release(): void {
         if (!this.isClosed) {
-            this.options.onFree();
+            this.options.onIdle();
         }
     }
 
@@ -180,7 +180,7 @@
         this.isClosed = true;
         // Errors are ignored, because they only state that the client is already closed.
         this.client.destroy().catch(() => undefined);
-        this.options.onGone();
+        this.options.onClosed();
     }
 }
 
--- a/src/connection/upstream/upstreamPool.ts
+++ b/src/connection/upstream/upstreamPool.ts
@@ -106,8 +106,8 @@
             address,
             barrier,
             connectTimeoutMilliseconds,
-            onFree: () => this.idle.push(connection),
-            onGone: () => this.remove(connection),
+            onIdle: () => this.idle.push(connection),
+            onClosed: () => this.remove(connection),
         });
         this.connections.add(connection);
         return connection;
--- a/src/request/document/handleDocument.ts
+++ b/src/request/document/handleDocument.ts
@@ -85,7 +85,7 @@
     }
     if (claim.val.kind === "answered") {
         const { status, contentType, body } = claim.val.answer;
-        writer.sendWhole(status, contentType, body, { "x-request-id": context.id, "x-foxlead-replayed": "true" });
+        writer.sendResponse(status, contentType, body, { "x-request-id": context.id, "x-foxlead-replayed": "true" });
         return Ok.EMPTY;
     }
     const call = createCall(context, request, claim.val);
@@ -97,7 +97,7 @@
         return answer;
     }
     const { status, contentType, body } = answer.val;
-    writer.sendWhole(status, contentType, body, { "x-request-id": context.id });
+    writer.sendResponse(status, contentType, body, { "x-request-id": context.id });
     return Ok.EMPTY;
 }
 
--- a/src/request/model/handleChat.ts
+++ b/src/request/model/handleChat.ts
@@ -172,7 +172,7 @@
         run.writer.endStream(run.answer.createFinalChunks(summary.finishReason));
         return;
     }
-    run.writer.sendWhole(
+    run.writer.sendResponse(
         200,
         "application/json",
         run.answer.createCompletion(run.tokenTexts.join(""), summary),
@@ -183,7 +183,7 @@
 function replayAnswer(run: ChatRun, keptAnswer: KeptAnswer): void {
     const headers = { ...run.headers, "x-foxlead-replayed": "true" };
     if (!run.chat.isStreamed) {
-        run.writer.sendWhole(keptAnswer.status, keptAnswer.contentType, keptAnswer.body, headers);
+        run.writer.sendResponse(keptAnswer.status, keptAnswer.contentType, keptAnswer.body, headers);
         return;
     }
     const { text, finishReason } = ChatAnswer.parseCompletion(keptAnswer.body);
--- a/tests/connection/caller/answerWriter.test.ts
+++ b/tests/connection/caller/answerWriter.test.ts
@@ -33,9 +33,9 @@
     it("rejects a second final answer and keeps the first one", async () => {
         const errors: unknown[] = [];
         const address = await serve(writer => {
-            writer.sendWhole(200, "text/plain", "first");
+            writer.sendResponse(200, "text/plain", "first");
             const seconds = [
-                () => writer.sendWhole(200, "text/plain", "second"),
+                () => writer.sendResponse(200, "text/plain", "second"),
                 () => writer.sendError(RequestError.failed("second")),
                 () => writer.endStream(["second"]),
             ];
@@ -55,8 +55,8 @@
 
     it("can send an error if the headers of the answer are invalid", async () => {
         const address = await serve(writer => {
-            assert.throws(() => writer.sendWhole(0, "text/plain", "x"));
-            assert.throws(() => writer.sendWhole(200, "text/plain\r\nx: y", "x"));
+            assert.throws(() => writer.sendResponse(0, "text/plain", "x"));
+            assert.throws(() => writer.sendResponse(200, "text/plain\r\nx: y", "x"));
             writer.sendError(RequestError.failed("The answer was broken."));
         });
         const answer = await get(address);
@@ -95,7 +95,7 @@
         const writer = await disconnected;
         writer.writeText("b");
         writer.sendError(RequestError.cancelled());
-        await writer.waitUntilTaken(new AbortController().signal);
+        await writer.waitUntilSent(new AbortController().signal);
         assert.ok(writer.hasFinalAnswer());
     });
 
@@ -123,7 +123,7 @@
     });
 
     it("omits the length of the body in the response to a HEAD request", async () => {
-        const address = await serve(writer => writer.sendWhole(200, "text/plain", ""));
+        const address = await serve(writer => writer.sendResponse(200, "text/plain", ""));
         assert.equal((await get(address, "HEAD")).headers["content-length"], undefined);
         assert.equal((await get(address)).headers["content-length"], "0");
     });
--- a/tests/connection/endpoint/hopDeadline.test.ts
+++ b/tests/connection/endpoint/passDeadline.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { HopDeadline } from "../../../src/connection/endpoint/hopDeadline.ts";
+import { PassDeadline } from "../../../src/connection/endpoint/passDeadline.ts";
 
 describe("HopDeadline", () => {
-    function learn(milliseconds: number): HopDeadline {
-        const deadline = HopDeadline.create();
+    function learn(milliseconds: number): PassDeadline {
+        const deadline = PassDeadline.create();
         for (let pass = 0; pass < 200; pass += 1) {
             deadline.observe(1, milliseconds + pass % 2);
         }
--- a/tests/connection/endpoint/prefillWindow.test.ts
+++ b/tests/connection/endpoint/prefillWindow.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
+import type { PendingPass } from "../../../src/connection/endpoint/pendingPass.ts";
 import { PrefillWindow } from "../../../src/connection/endpoint/prefillWindow.ts";
-import type { WaitingPass } from "../../../src/connection/endpoint/waitingPass.ts";
 
 describe("PrefillWindow", () => {
-    function createPass(request: string, positions: number, rebuild = false): WaitingPass {
+    function createPass(request: string, positions: number, rebuild = false): PendingPass {
         return {
             pass: {
                 id: 1,
@@ -20,7 +20,7 @@
             positions,
             sentAt: [],
             mayHaveArrived: false,
-            isDoubtful: false,
+            isBeingProbed: false,
             settle: () => undefined,
             cancelTimer: () => undefined,
         };
