--- a/bench/experiment/createRequest.ts
+++ b/bench/experiment/createRequest.ts
@@ -23,7 +23,7 @@
         id,
         customer: isFromLargeCustomer ? "large" : `small-${Math.floor(random() * smallCustomerCount)}`,
         promptTokens: Math.ceil(drawLength(settings.promptTokens, promptLogDeviation, random)),
-        events: Math.max(1, Math.round(answerTokens / experimentModel.stepsOfPass)),
+        events: Math.max(1, Math.round(answerTokens / experimentModel.stepsPerPass)),
         expectedAnswerTokens: Math.ceil(answerTokens * Math.exp(estimateLogDeviation * drawNormal(random))),
         deadlineMilliseconds: Math.floor(minimumDeadlineMilliseconds + deadlineRangeMilliseconds * random()),
         impatientPart: settings.impatientPart,
--- a/bench/experiment/simulatedEngine.ts
+++ b/bench/experiment/simulatedEngine.ts
@@ -47,9 +47,9 @@
 
     /** Gets the time to generate one event, in milliseconds. An event has one token for each step of a pass. */
     getEventMilliseconds(): number {
-        const context = model.stepMillisecondsOfThousandTokens * getMeanContext(model) / 1_000;
-        const step = model.stepMilliseconds + this.runs.size * (model.stepMillisecondsOfRequest + context);
-        return model.stepsOfPass * step * this.kind.stepFactor * this.slowness * this.getLayerFraction();
+        const context = model.stepMillisecondsPerThousandTokens * getMeanContext(model) / 1_000;
+        const step = model.stepMilliseconds + this.runs.size * (model.stepMillisecondsPerRequest + context);
+        return model.stepsPerPass * step * this.kind.stepFactor * this.slowness * this.getLayerFraction();
     }
 
     /**
--- a/bench/experiment/simulatedEngines.ts
+++ b/bench/experiment/simulatedEngines.ts
@@ -50,7 +50,7 @@
         const run: SimulatedRun = {
             requestId: request.requestId,
             engines,
-            promptTokens: request.promptTokens + request.lastEvent * model.stepsOfPass,
+            promptTokens: request.promptTokens + request.lastEvent * model.stepsPerPass,
             events: request.events,
             written: request.lastEvent,
             heldTokens: 0,
@@ -125,9 +125,9 @@
 
     private writeEvent(run: SimulatedRun): void {
         for (const engine of run.engines) {
-            engine.usedTokenLayers += engine.getTokenLayers(model.stepsOfPass);
+            engine.usedTokenLayers += engine.getTokenLayers(model.stepsPerPass);
         }
-        run.heldTokens += model.stepsOfPass;
+        run.heldTokens += model.stepsPerPass;
         run.written += 1;
         if (!run.hasHead) {
             run.hasHead = true;
@@ -155,7 +155,7 @@
         for (const [index, engine] of run.engines.entries()) {
             const next = run.engines[index + 1];
             const isCrossing = next !== undefined && next.endpoint.dataCentre !== engine.endpoint.dataCentre;
-            time += engine.getEventMilliseconds() + (isCrossing ? model.stepsOfPass * model.crossingMilliseconds : 0);
+            time += engine.getEventMilliseconds() + (isCrossing ? model.stepsPerPass * model.linkDelayMilliseconds : 0);
         }
         return time;
     }
@@ -169,7 +169,7 @@
             }
             this.counts.preempted += 1;
             this.releaseMemory(newest);
-            newest.promptTokens = newest.promptTokens + newest.written * model.stepsOfPass;
+            newest.promptTokens = newest.promptTokens + newest.written * model.stepsPerPass;
             newest.engines[0]!.waiting.unshift(newest);
             newest.timer?.cancel();
         }
--- a/src/process/commandLine/configuration/applyConfigurationFile.ts
+++ b/src/process/commandLine/configuration/applyConfigurationFile.ts
@@ -15,13 +15,13 @@
 const millisecondsPerSecond = 1000;
 
 const exitCodes: Readonly<Record<ApplyErrorKind, ExitCode>> = {
-    [ApplyErrorKind.BrokenText]: ExitCode.BrokenFile,
-    [ApplyErrorKind.TooLarge]: ExitCode.BrokenFile,
-    [ApplyErrorKind.ClaimsChanged]: ExitCode.BrokenFile,
+    [ApplyErrorKind.InvalidText]: ExitCode.InvalidFile,
+    [ApplyErrorKind.TooLarge]: ExitCode.InvalidFile,
+    [ApplyErrorKind.ClaimParametersChanged]: ExitCode.InvalidFile,
     [ApplyErrorKind.LostRace]: ExitCode.LostRace,
     [ApplyErrorKind.StoreUnavailable]: ExitCode.Unreachable,
     [ApplyErrorKind.OutcomeUnknown]: ExitCode.Unreachable,
-    [ApplyErrorKind.BrokenStoredValue]: ExitCode.Unreachable,
+    [ApplyErrorKind.InvalidStoredValue]: ExitCode.Unreachable,
 };
 
 /** Runs `config apply`: prints the differences, asks for confirmation, applies the text and waits until it is in force. */
@@ -32,7 +32,7 @@
 ): Promise<ExitCode> {
     const loaded = loadConfiguration(options.file, context);
     if (loaded === undefined) {
-        return ExitCode.BrokenFile;
+        return ExitCode.InvalidFile;
     }
     const stored = await readStoredConfiguration(store);
     if (stored.err) {
--- a/src/process/commandLine/configuration/checkConfiguration.ts
+++ b/src/process/commandLine/configuration/checkConfiguration.ts
@@ -6,7 +6,7 @@
 export async function checkConfiguration(file: string, context: CommandContext): Promise<ExitCode> {
     const loaded = loadConfiguration(file, context);
     if (loaded === undefined) {
-        return ExitCode.BrokenFile;
+        return ExitCode.InvalidFile;
     }
     const { services, endpoints, customers } = loaded.configuration;
     const counts = [
--- a/src/process/commandLine/configuration/diffConfiguration.ts
+++ b/src/process/commandLine/configuration/diffConfiguration.ts
@@ -13,7 +13,7 @@
 ): Promise<ExitCode> {
     const loaded = loadConfiguration(file, context);
     if (loaded === undefined) {
-        return ExitCode.BrokenFile;
+        return ExitCode.InvalidFile;
     }
     const stored = await readStoredConfiguration(store);
     if (stored.err) {
--- a/src/process/commandLine/configuration/showConfiguration.ts
+++ b/src/process/commandLine/configuration/showConfiguration.ts
@@ -22,7 +22,7 @@
     if (stored.val === undefined || (version !== undefined && stored.val.version !== version)) {
         const remedy = "Run foxlead config history to list the versions, or apply a first one.";
         context.printError(`The store does not hold ${version === undefined ? "a" : "that"} version. ${remedy}`);
-        return ExitCode.BrokenFile;
+        return ExitCode.InvalidFile;
     }
     const { author, appliedAt, editId, text } = stored.val;
     const time = new Date(appliedAt).toISOString();
--- a/src/process/commandLine/createNodeCommand.ts
+++ b/src/process/commandLine/createNodeCommand.ts
@@ -22,7 +22,7 @@
                 const { loadSettings } = await import("./loadSettings.ts");
                 const settings = loadSettings(file, context);
                 if (settings === undefined) {
-                    return ExitCode.BrokenFile;
+                    return ExitCode.InvalidFile;
                 }
                 const { runNode } = await import("../runNode.ts");
                 await runNode(settings);
--- a/src/process/commandLine/createSettingsCommand.ts
+++ b/src/process/commandLine/createSettingsCommand.ts
@@ -16,7 +16,7 @@
                 const { loadSettings } = await import("./loadSettings.ts");
                 const settings = loadSettings(file, context);
                 if (settings === undefined) {
-                    return ExitCode.BrokenFile;
+                    return ExitCode.InvalidFile;
                 }
                 context.print(`${file} is correct; it configures the node ${settings.vm}.`);
                 return ExitCode.Success;
--- a/src/process/commandLine/exitCode.ts
+++ b/src/process/commandLine/exitCode.ts
@@ -4,7 +4,7 @@
     /** The command line is invalid. */
     Usage: 1,
     /** A file is missing or invalid. */
-    BrokenFile: 2,
+    InvalidFile: 2,
     /** Another edit of the configuration came first. Nothing was written. */
     LostRace: 3,
     /** The platform or a node could not be reached, or rejected the call. */
--- a/src/process/commandLine/explain/createExplainCommand.ts
+++ b/src/process/commandLine/explain/createExplainCommand.ts
@@ -2,8 +2,8 @@
 import type { CommandModule } from "yargs";
 import type { CommandContext } from "../commandContext.ts";
 import { ExitCode } from "../exitCode.ts";
-import { formatStory } from "./formatStory.ts";
-import { findRequestStory } from "./requestStory.ts";
+import { formatRequestLog } from "./formatRequestLog.ts";
+import { findRequestLog } from "./requestStory.ts";
 
 const standardInputDescriptor = 0;
 
@@ -37,17 +37,17 @@
         catch (error) {
             const reason = error instanceof Error ? error.message : String(error);
             context.printError(`${file} can't be read: ${reason}. Check the paths of the log files.`);
-            return ExitCode.BrokenFile;
+            return ExitCode.InvalidFile;
         }
     }
-    const requestLines = findRequestStory(lines, request);
+    const requestLines = findRequestLog(lines, request);
     if (requestLines.length === 0) {
         context.printError(
             `There are no log lines about the request ${request}. Check its id, and that the logs of all nodes are given.`,
         );
-        return ExitCode.BrokenFile;
+        return ExitCode.InvalidFile;
     }
-    for (const line of formatStory(requestLines)) {
+    for (const line of formatRequestLog(requestLines)) {
         context.print(line);
     }
     return ExitCode.Success;
--- a/src/process/commandLine/explain/formatStory.ts
+++ b/src/process/commandLine/explain/formatRequestLog.ts
@@ -1,10 +1,10 @@
-import type { StoryLine } from "./storyLine.ts";
+import type { RequestLogLine } from "./requestLogLine.ts";
 
 /**
  * Formats the log lines about a request, each with the time since the first line of the request.
  * @param requestLines - Lines in chronological order.
  */
-export function formatStory(requestLines: readonly StoryLine[]): string[] {
+export function formatRequestLog(requestLines: readonly RequestLogLine[]): string[] {
     const start = requestLines.find(({ isContext }) => !isContext)?.time ?? 0;
     return requestLines.map(({ time, vm, event, message, fields, isContext }) => {
         const offset = `${time - start >= 0 ? "+" : ""}${time - start} ms`.padStart(10);
--- a/src/process/commandLine/explain/storyLine.ts
+++ b/src/process/commandLine/explain/requestLogLine.ts
@@ -1,5 +1,5 @@
 /** A log line about a request or an endpoint that it used. */
-export interface StoryLine {
+export interface RequestLogLine {
     /** Time of the line, in milliseconds since the Unix epoch. */
     time: number;
     vm: string;
--- a/src/process/commandLine/explain/requestStory.ts
+++ b/src/process/commandLine/explain/requestStory.ts
@@ -1,5 +1,5 @@
 import { readEventLine } from "../../logging/readEventLine.ts";
-import type { StoryLine } from "./storyLine.ts";
+import type { RequestLogLine } from "./requestLogLine.ts";
 
 /** Time before the first and after the last line of a request in which lines about its endpoints are included. */
 const contextMilliseconds = 3_000;
@@ -13,8 +13,8 @@
  * @param requestId - Id of the request.
  * @returns The lines in chronological order.
  */
-export function findRequestStory(lines: Iterable<string>, requestId: string): StoryLine[] {
-    const parsed: StoryLine[] = [];
+export function findRequestLog(lines: Iterable<string>, requestId: string): RequestLogLine[] {
+    const parsed: RequestLogLine[] = [];
     for (const line of lines) {
         const parsedLine = parseLine(line);
         if (parsedLine !== undefined) {
@@ -37,7 +37,7 @@
     return [...own, ...context.map(line => ({ ...line, isContext: true }))].sort(compareTime);
 }
 
-function parseLine(line: string): StoryLine | undefined {
+function parseLine(line: string): RequestLogLine | undefined {
     const value = readEventLine(line);
     if (value === undefined) {
         return undefined;
@@ -57,12 +57,12 @@
     };
 }
 
-function listEndpointIds({ endpoint, chain, avoided }: StoryLine["fields"]): string[] {
+function listEndpointIds({ endpoint, chain, avoided }: RequestLogLine["fields"]): string[] {
     const ids = typeof chain === "string" ? chain.match(idPattern) ?? [] : [];
     const avoidedIds = typeof avoided === "string" ? avoided.split(",") : [];
     return [...ids, ...avoidedIds, ...(typeof endpoint === "string" ? [endpoint] : [])].filter(id => id !== "");
 }
 
-function compareTime(left: StoryLine, right: StoryLine): number {
+function compareTime(left: RequestLogLine, right: RequestLogLine): number {
     return left.time - right.time;
 }
--- a/src/process/configurationService.ts
+++ b/src/process/configurationService.ts
@@ -92,7 +92,12 @@
             return;
         }
         const { store, clock, log } = this.options;
-        const restored = await restoreStoredConfiguration({ store, held, stored, wallTime: clock.getWallTime() });
+        const restored = await restoreStoredConfiguration({
+            store,
+            current: held,
+            stored,
+            wallTime: clock.getWallTime(),
+        });
         if (restored.ok && restored.val.swapped) {
             log.write(events.configurationRestored, { version: held.version });
         }
--- a/src/process/placement/assignLayers.ts
+++ b/src/process/placement/assignLayers.ts
@@ -230,7 +230,7 @@
  */
 function getMinimumTokens(model: EngineModel): number {
     const usefulRequests = 8;
-    return usefulRequests * (model.usualPromptTokens + model.usualAnswerTokens);
+    return usefulRequests * (model.typicalPromptTokens + model.typicalAnswerTokens);
 }
 
 /**
--- a/src/process/placement/searchColumns.ts
+++ b/src/process/placement/searchColumns.ts
@@ -164,16 +164,16 @@
         const usableRequests = Math.max(0, requestsInMemory - freeStandardDeviations * Math.sqrt(requestsInMemory));
         inProgress = Math.min(inProgress, effectiveReplicas * Math.min(usableRequests, model.slots));
         const work = createWork(share, 0);
-        const prefill = estimatePrefillTime(model, work, model.usualPromptTokens);
+        const prefill = estimatePrefillTime(model, work, model.typicalPromptTokens);
         rateByTime = Math.min(rateByTime, effectiveReplicas * maximumUtilization / prefill);
     }
     if (inProgress === Infinity) {
         return 0;
     }
     const crossings = getCrossings(context, shares);
-    const transfer = getTransferTime(model, model.usualPromptTokens + model.usualAnswerTokens);
+    const transfer = getTransferTime(model, model.typicalPromptTokens + model.typicalAnswerTokens);
     const rateByBandwidth = crossings === 0 ? Infinity : maximumUtilization / (crossings * transfer);
-    const crossingDuration = transfer / maximumUtilization + model.usualAnswerTokens * model.crossingMilliseconds;
+    const crossingDuration = transfer / maximumUtilization + model.typicalAnswerTokens * model.linkDelayMilliseconds;
     const duration = getDuration(model, shares, inProgress) + crossings * crossingDuration;
     return Math.min(inProgress / duration, rateByTime, rateByBandwidth);
 }
@@ -222,7 +222,8 @@
         }
         const replicas = share.count / share.columns;
         const work = createWork(share, inProgress / replicas);
-        duration += share.columns * estimateAnswerTime(model, work, model.usualPromptTokens, model.usualAnswerTokens);
+        duration += share.columns
+            * estimateAnswerTime(model, work, model.typicalPromptTokens, model.typicalAnswerTokens);
     }
     return duration;
 }
--- a/src/request/relay/chooseStages.ts
+++ b/src/request/relay/chooseStages.ts
@@ -200,7 +200,7 @@
     }
     const transfer = getTransferTime(model, promptTokens + answerTokens);
     const availability = 1 - Math.min(pipeUse, maximumLinkUtilization);
-    const expected = (transfer + delaysPerToken * answerTokens * model.crossingMilliseconds) / availability;
+    const expected = (transfer + delaysPerToken * answerTokens * model.linkDelayMilliseconds) / availability;
     return expected + delaysPerAnswer * query.getCrossingDelay(from, to);
 }
 
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -36,9 +36,11 @@
     const { clock, firstEvents, retryBudget: repeats } = environment;
     const reservedMilliseconds = Math.min(
         firstEvents.getExpected(),
-        route.objectiveMilliseconds * maximumReserveFraction,
+        route.targetLatencyMilliseconds * maximumReserveFraction,
     );
-    const timelyUntil = isReturn ? -Infinity : request.arrivedAt + route.objectiveMilliseconds - reservedMilliseconds;
+    const timelyUntil = isReturn
+        ? -Infinity
+        : request.arrivedAt + route.targetLatencyMilliseconds - reservedMilliseconds;
     const closed = new Set<string>();
     environment.limits.noteRequest(task.service.name, clock.getMonotonicTime());
     return {
--- a/src/request/relay/documentRelay.ts
+++ b/src/request/relay/documentRelay.ts
@@ -89,7 +89,7 @@
         const { environment, task } = this;
         task.sink.onClosed(() => this.finish("callerGone"));
         this.setTimer(task.dueAt - environment.clock.getMonotonicTime(), () => this.expire());
-        this.setTimer(task.route.objectiveMilliseconds * hedgeFraction, () => this.handleLateAnswer());
+        this.setTimer(task.route.targetLatencyMilliseconds * hedgeFraction, () => this.handleLateAnswer());
         this.startAttempt("no endpoint of the service is ready.");
     }
 
--- a/src/request/relay/estimateAnswerTime.ts
+++ b/src/request/relay/estimateAnswerTime.ts
@@ -13,7 +13,7 @@
     promptTokens: number,
     answerTokens: number,
 ): number {
-    const passes = answerTokens / model.stepsOfPass;
+    const passes = answerTokens / model.stepsPerPass;
     return passes * passesPerStep * estimatePassTime(model, work) + estimatePrefillTime(model, work, promptTokens);
 }
 
@@ -22,7 +22,7 @@
  * requests and context, scaled by the accelerator kind and the share of the layers.
  */
 function estimatePassTime(model: EngineModel, work: StageWork): number {
-    const context = model.stepMillisecondsOfThousandTokens * getMeanContext(model) / 1_000;
-    const step = model.stepMilliseconds + work.requests * (model.stepMillisecondsOfRequest + context);
-    return model.stepsOfPass * step * work.kind.stepFactor * work.slowness * work.layers / model.layers;
+    const context = model.stepMillisecondsPerThousandTokens * getMeanContext(model) / 1_000;
+    const step = model.stepMilliseconds + work.requests * (model.stepMillisecondsPerRequest + context);
+    return model.stepsPerPass * step * work.kind.stepFactor * work.slowness * work.layers / model.layers;
 }
--- a/src/request/relay/getRequestMemory.ts
+++ b/src/request/relay/getRequestMemory.ts
@@ -11,5 +11,5 @@
  */
 export function getRequestMemory(model: EngineModel, kind: AcceleratorKind, layers: number): number {
     const freeBytes = (kind.memoryMegabytes - layers * model.layerMegabytes) * bytesPerMegabyte;
-    return Math.max(0, freeBytes / (model.tokenBytes / model.layers));
+    return Math.max(0, freeBytes / (model.bytesPerToken / model.layers));
 }
--- a/src/request/relay/linkPacer.ts
+++ b/src/request/relay/linkPacer.ts
@@ -62,7 +62,7 @@
      * @param now - Monotonic time in milliseconds.
      */
     reserve(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
-        const rate = model.pipeMegabits * bitsPerMillisecond * usableFraction * this.getShare();
+        const rate = model.linkMegabitsPerSecond * bitsPerMillisecond * usableFraction * this.getShare();
         const key = formatDataCentreLink(from, to);
         const start = Math.max(now, this.uses.get(key)?.freeAt ?? now);
         const lastMilliseconds = getActivationBits(model, tokens) / rate;
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -176,16 +176,16 @@
     /** Estimates the utilization of the links between data centres from this node's traffic, since callers are spread over the nodes. */
     private getLinkUtilization(now: number): number {
         const { linkTraffic, getNodeCount } = this.environment;
-        return linkTraffic.getRate(now) * getNodeCount() / (this.model.pipeMegabits * bitsPerMegabit);
+        return linkTraffic.getRate(now) * getNodeCount() / (this.model.linkMegabitsPerSecond * bitsPerMegabit);
     }
 
     private getPromptTokens(): number {
-        return this.task.request.promptTokens || this.model.usualPromptTokens;
+        return this.task.request.promptTokens || this.model.typicalPromptTokens;
     }
 
     /** Gets the caller's estimate or the usual length, limited to the requested maximum. */
     private getAnswerTokens(): number {
         const { expectedAnswerTokens, maximumAnswerTokens } = this.task.request;
-        return Math.min(expectedAnswerTokens || this.model.usualAnswerTokens, maximumAnswerTokens || Infinity);
+        return Math.min(expectedAnswerTokens || this.model.typicalAnswerTokens, maximumAnswerTokens || Infinity);
     }
 }
--- a/src/version/applyConfiguration.ts
+++ b/src/version/applyConfiguration.ts
@@ -7,11 +7,11 @@
 import type { AppliedConfiguration } from "./appliedConfiguration.ts";
 import type { ApplyError } from "./applyError.ts";
 import { ApplyErrorKind } from "./applyErrorKind.ts";
+import { computeRetryDelay } from "./computeRetryDelay.ts";
 import type { ConfigurationEdit } from "./configurationEdit.ts";
 import { ConfigurationHistory } from "./configurationHistory.ts";
 import { decideApply } from "./decideApply.ts";
 import { parseConfiguration } from "./parseConfiguration.ts";
-import { retryDelay } from "./retryDelay.ts";
 import { StoredConfiguration } from "./storedConfiguration.ts";
 
 const maximumAttempts = 6;
@@ -36,13 +36,13 @@
     if (parsed.err) {
         const message =
             `The configuration has ${parsed.val.length} errors. Nothing was written. Correct them and apply it again.`;
-        return Err({ kind: ApplyErrorKind.BrokenText, message, faults: parsed.val });
+        return Err({ kind: ApplyErrorKind.InvalidText, message, faults: parsed.val });
     }
     let mayBeWritten = false;
     let lastError: PlatformError | undefined;
     for (let attempt = 1; attempt <= maximumAttempts; attempt++) {
         if (attempt > 1) {
-            await wait(options.clock, retryDelay(attempt - 1, retryDelays, options.random));
+            await wait(options.clock, computeRetryDelay(attempt - 1, retryDelays, options.random));
         }
         const outcome = await attemptSwap(options);
         if (outcome.ok) {
@@ -80,7 +80,7 @@
     if (step.val.kind === "written") {
         const { version, isReplaced } = step.val;
         if (!isReplaced && read.val !== undefined) {
-            await ConfigurationHistory.keep(store, version, read.val.value);
+            await ConfigurationHistory.save(store, version, read.val.value);
         }
         return Ok({ version, isReplaced });
     }
@@ -93,7 +93,7 @@
     if (!swap.val.swapped) {
         return Err({ kind: "retry", mayBeWritten: false });
     }
-    await ConfigurationHistory.keep(store, next.version, value);
+    await ConfigurationHistory.save(store, next.version, value);
     return Ok({ version: next.version, isReplaced: false });
 }
 
--- a/src/version/applyErrorKind.ts
+++ b/src/version/applyErrorKind.ts
@@ -1,11 +1,11 @@
 /** Kinds of errors of an edit. */
 export const ApplyErrorKind = {
     /** The text is invalid. Nothing was written. */
-    BrokenText: "brokenText",
+    InvalidText: "brokenText",
     /** The value exceeds the maximum size of the store. Nothing was written. */
     TooLarge: "tooLarge",
     /** The text changes the parameters of the claim log. Nothing was written. */
-    ClaimsChanged: "claimsChanged",
+    ClaimParametersChanged: "claimsChanged",
     /** Another edit came first. Nothing was written. */
     LostRace: "lostRace",
     /** The store rejected the calls or could not be reached. Nothing was written. */
@@ -13,6 +13,6 @@
     /** The edit may be in force: responses of the store were lost. */
     OutcomeUnknown: "outcomeUnknown",
     /** The value in the store is invalid. Nothing was written. */
-    BrokenStoredValue: "brokenStoredValue",
+    InvalidStoredValue: "brokenStoredValue",
 } as const;
 export type ApplyErrorKind = typeof ApplyErrorKind[keyof typeof ApplyErrorKind];
--- a/src/version/retryDelay.ts
+++ b/src/version/computeRetryDelay.ts
@@ -15,7 +15,7 @@
  * @param random - Source of the jitter, which keeps nodes from retrying simultaneously.
  * @returns The delay in milliseconds.
  */
-export function retryDelay(failures: number, options: RetryDelayOptions, random: RandomSource): number {
+export function computeRetryDelay(failures: number, options: RetryDelayOptions, random: RandomSource): number {
     const doubledMilliseconds = options.firstMilliseconds * 2 ** Math.min(failures - 1, 30);
     return Math.min(doubledMilliseconds, options.maximumMilliseconds) * (0.5 + random() / 2);
 }
--- a/src/version/configurationHistory.ts
+++ b/src/version/configurationHistory.ts
@@ -21,7 +21,7 @@
      * @param version - Version of the configuration.
      * @param value - Encoded configuration, as stored under the configuration's key.
      */
-    keep: async (store: PlatformStore, version: number, value: string): Promise<void> => {
+    save: async (store: PlatformStore, version: number, value: string): Promise<void> => {
         const key = ConfigurationHistory.getKey(version);
         const read = await store.get(key);
         if (read.err) {
--- a/src/version/configurationWatcher.ts
+++ b/src/version/configurationWatcher.ts
@@ -5,10 +5,10 @@
 import type { PlatformStore, StoredValue, WatchHandle } from "../process/platform/platformStore.ts";
 import type { RandomSource } from "../process/randomSource.ts";
 import type { Result } from "../result.ts";
+import { computeRetryDelay } from "./computeRetryDelay.ts";
 import type { ConfigurationFollower } from "./configurationFollower.ts";
-import { retryDelay } from "./retryDelay.ts";
 import { StoredConfiguration } from "./storedConfiguration.ts";
-import { StoredConfigurationIntake } from "./storedConfigurationIntake.ts";
+import { StoredConfigurationHandler } from "./storedConfigurationHandler.ts";
 
 /** Interval of reads while the store holds a lower version than the one in force. */
 const storeBehindReadIntervalMilliseconds = 1_000;
@@ -44,7 +44,7 @@
  */
 export class ConfigurationWatcher {
     private readonly options: ConfigurationWatcherOptions;
-    private readonly valueHandler: StoredConfigurationIntake;
+    private readonly valueHandler: StoredConfigurationHandler;
     private isRunning = false;
     private isWatching = false;
     private watch: { handle?: WatchHandle; } | undefined;
@@ -59,7 +59,7 @@
 
     private constructor(options: ConfigurationWatcherOptions) {
         this.options = options;
-        this.valueHandler = StoredConfigurationIntake.create(options);
+        this.valueHandler = StoredConfigurationHandler.create(options);
     }
 
     /**
@@ -117,7 +117,7 @@
             }
             else if (this.isRunning && result.ok && result.val !== undefined) {
                 // A late response may still contain a newer version; the follower decides.
-                this.valueHandler.takeEvent(result.val);
+                this.valueHandler.handleEvent(result.val);
             }
         });
     }
@@ -146,7 +146,7 @@
             this.options.getCheckIntervalMilliseconds() * (0.75 + this.options.random() / 2),
             () => this.read(),
         );
-        const isBehind = this.valueHandler.takeRead(result.val);
+        const isBehind = this.valueHandler.handleRead(result.val);
         if (isBehind && this.isWatching) {
             this.options.onStoreBehind?.(result.val);
         }
@@ -176,7 +176,7 @@
                 if (this.watch === watch) {
                     this.lastContactTime = this.options.clock.getMonotonicTime();
                     this.lastRevision = Math.max(this.lastRevision, value.revision);
-                    this.valueHandler.takeEvent(value);
+                    this.valueHandler.handleEvent(value);
                 }
             },
             onClosed: reason => {
@@ -211,7 +211,7 @@
     private retry(failures: number): void {
         const { random, firstRetryMilliseconds = 200, maximumRetryMilliseconds = 10_000 } = this.options;
         const delays = { firstMilliseconds: firstRetryMilliseconds, maximumMilliseconds: maximumRetryMilliseconds };
-        this.setTimer(retryDelay(failures, delays, random), () => this.read());
+        this.setTimer(computeRetryDelay(failures, delays, random), () => this.read());
     }
 
     private setTimer(delayMilliseconds: number, callback: () => void): void {
--- a/src/version/decideApply.ts
+++ b/src/version/decideApply.ts
@@ -31,7 +31,7 @@
 ): Result<ApplyStep, ApplyError> {
     const decoded = currentValue === undefined ? Ok(undefined) : StoredConfiguration.decode(currentValue);
     if (decoded.err) {
-        return Err({ kind: ApplyErrorKind.BrokenStoredValue, message: decoded.val.message });
+        return Err({ kind: ApplyErrorKind.InvalidStoredValue, message: decoded.val.message });
     }
     const current = decoded.val;
     const edits = current === undefined ? [] : [current, ...current.earlierEdits];
@@ -45,7 +45,7 @@
         return Err({ kind: ApplyErrorKind.LostRace, message: describeLostRace(edit, current), currentVersion });
     }
     if (current !== undefined && hasChangedClaims(current.text, edit.text)) {
-        return Err({ kind: ApplyErrorKind.ClaimsChanged, message: claimsChangedMessage });
+        return Err({ kind: ApplyErrorKind.ClaimParametersChanged, message: claimsChangedMessage });
     }
     return encodeNext(edit, edits, wallTime);
 }
--- a/src/version/restoreStoredConfiguration.ts
+++ b/src/version/restoreStoredConfiguration.ts
@@ -8,7 +8,7 @@
 interface RestoreOptions {
     store: PlatformStore;
     /** The configuration in force. */
-    held: VersionOffer;
+    current: VersionOffer;
     /** Value in the store; undefined if the key does not exist. */
     stored: StoredValue | undefined;
     /** Wall-clock time in milliseconds since the Unix epoch, stored for information only. */
@@ -23,8 +23,8 @@
 export async function restoreStoredConfiguration(
     options: RestoreOptions,
 ): Promise<Result<SwapOutcome, PlatformError>> {
-    const { store, held, stored, wallTime } = options;
-    const { version, editId, text } = held;
+    const { store, current, stored, wallTime } = options;
+    const { version, editId, text } = current;
     const decoded = stored === undefined ? undefined : StoredConfiguration.decode(stored.value);
     const earlierEdits = decoded?.ok === true ? decoded.val.earlierEdits : [];
     const value = StoredConfiguration.encode({
--- a/src/version/routing/engineModel.ts
+++ b/src/version/routing/engineModel.ts
@@ -12,25 +12,25 @@
     /** Maximum number of requests for which an engine is the first stage. */
     slots: number;
     /** Memory of one token over all layers (key-value cache), in bytes. */
-    tokenBytes: number;
+    bytesPerToken: number;
     /** Number of decoding steps that an engine runs in one pass. */
-    stepsOfPass: number;
+    stepsPerPass: number;
     /** Base time of a step through all layers without requests, in milliseconds. */
     stepMilliseconds: number;
     /** Additional time of a step for each running request, in milliseconds. */
-    stepMillisecondsOfRequest: number;
+    stepMillisecondsPerRequest: number;
     /** Additional time of a step for each 1,000 tokens of context, in milliseconds. */
-    stepMillisecondsOfThousandTokens: number;
+    stepMillisecondsPerThousandTokens: number;
     /** Prefill throughput, in prompt tokens per millisecond. */
-    prefillTokensOfMillisecond: number;
+    prefillTokensPerMillisecond: number;
     /** Bytes that are sent from stage to stage for each token. */
-    activationBytes: number;
+    activationBytesPerToken: number;
     /** Bandwidth between two data centres, shared by all chains, in megabits per second. */
-    pipeMegabits: number;
+    linkMegabitsPerSecond: number;
     /** Delay between two data centres, in milliseconds. */
-    crossingMilliseconds: number;
-    usualPromptTokens: number;
-    usualAnswerTokens: number;
+    linkDelayMilliseconds: number;
+    typicalPromptTokens: number;
+    typicalAnswerTokens: number;
     /** Kinds of accelerator by name. */
     kinds: ReadonlyMap<string, AcceleratorKind>;
 }
--- a/src/version/routing/route.ts
+++ b/src/version/routing/route.ts
@@ -19,9 +19,9 @@
     /** Maximum time until the response is complete, in milliseconds. */
     timeoutMilliseconds: number;
     /** Target latency, in milliseconds; for a stream, until its first event. */
-    objectiveMilliseconds: number;
+    targetLatencyMilliseconds: number;
     /** Maximum time between two events of a stream that counts as on time, in milliseconds. */
-    maximumGapMilliseconds: number;
+    maximumEventGapMilliseconds: number;
     /** Maximum number of endpoints that a request may be sent to. */
     maximumAttempts: number;
     /** Priority. Lower values go first. */
--- a/src/version/storedConfigurationIntake.ts
+++ b/src/version/storedConfigurationHandler.ts
@@ -9,7 +9,7 @@
 const minimumReadsBehind = 2;
 
 /** Passes values from the store to the follower and logs each problem once. */
-export class StoredConfigurationIntake {
+export class StoredConfigurationHandler {
     private readonly follower: ConfigurationFollower;
     private readonly eventLog: EventLog;
     /** Last value, which is not decoded and logged again if it is repeated. */
@@ -26,15 +26,15 @@
      * Creates an instance for a follower.
      * @param options - Follower that receives the values, and log.
      */
-    static create(options: { follower: ConfigurationFollower; eventLog: EventLog; }): StoredConfigurationIntake {
-        return new StoredConfigurationIntake(options.follower, options.eventLog);
+    static create(options: { follower: ConfigurationFollower; eventLog: EventLog; }): StoredConfigurationHandler {
+        return new StoredConfigurationHandler(options.follower, options.eventLog);
     }
 
     /**
      * Handles a value that may be stale: a watch event, or a late response to a read.
      * @param stored - Value of the configuration's key.
      */
-    takeEvent(stored: StoredValue): void {
+    handleEvent(stored: StoredValue): void {
         if (stored.value === this.lastValue) {
             return;
         }
@@ -54,9 +54,9 @@
      * @param stored - Value of the configuration's key; undefined if the key does not exist.
      * @returns Whether consecutive reads have returned a lower version than the one in force.
      */
-    takeRead(stored: StoredValue | undefined): boolean {
+    handleRead(stored: StoredValue | undefined): boolean {
         if (stored !== undefined) {
-            this.takeEvent(stored);
+            this.handleEvent(stored);
         }
         const storedVersion = stored === undefined ? 0 : this.lastVersion;
         const inForce = this.follower.getVersion();
--- a/tests/platform/decoders.test.ts
+++ b/tests/platform/decoders.test.ts
@@ -4,7 +4,7 @@
 import { decodeConfiguration } from "../../platform/decodeConfiguration.ts";
 import { decodeEndpoint } from "../../platform/decodeEndpoint.ts";
 import { endpointProtocol } from "../../platform/endpointProtocol.ts";
-import { readBootFile } from "../../platform/readBootFile.ts";
+import { parseBootFile } from "../../platform/parseBootFile.ts";
 import { createConfiguration } from "../../standins/router/createConfiguration.ts";
 
 const boot = `
@@ -32,7 +32,7 @@
 
 describe("The decoders of the platform", () => {
     it("read the settings and ignore unknown fields", () => {
-        const settings = readBootFile(boot).unwrap();
+        const settings = parseBootFile(boot).unwrap();
         assert.equal(settings.vm, "edge-1");
         assert.equal(settings.peerListener, "10.1.0.4:3");
         assert.equal(settings.adminListener, "10.1.0.4:7340");
@@ -40,17 +40,17 @@
     });
 
     it("name each invalid field of the settings", () => {
-        const faults = readBootFile(boot.replace('"10.1.0.4:1"', '"nowhere"').replace("grace_s: 8", "grace_s: -1"));
+        const faults = parseBootFile(boot.replace('"10.1.0.4:1"', '"nowhere"').replace("grace_s: 8", "grace_s: -1"));
         assert.ok(faults.err);
         assert.match(faults.val.join("\n"), /^listen\.front: .*\nbounds\.grace_s: /);
-        assert.ok(readBootFile("a: [").err);
+        assert.ok(parseBootFile("a: [").err);
     });
 
     it("read a configuration", () => {
         const configuration = decodeConfiguration(JSON.stringify(createConfiguration(7))).unwrap();
         assert.equal(configuration.version, 7);
         assert.equal(configuration.routes.length, 4);
-        assert.equal(configuration.services.get("model")?.engine?.prefillTokensOfMillisecond, 100);
+        assert.equal(configuration.services.get("model")?.engine?.prefillTokensPerMillisecond, 100);
         assert.equal(configuration.services.get("documents")?.engine, undefined);
     });
 
@@ -99,7 +99,7 @@
         fc.assert(fc.property(anyText, text => {
             decodeConfiguration(text);
             decodeEndpoint("servers/x", text);
-            readBootFile(text);
+            parseBootFile(text);
             endpointProtocol.readReport(Buffer.from(text));
             endpointProtocol.readOrderOutcome(409, Buffer.from(text));
         }));
--- a/tests/platform/documentPath.test.ts
+++ b/tests/platform/documentPath.test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { after, before, beforeEach, describe, it } from "node:test";
 import type { EndpointStandin } from "../../standins/router/endpointStandin.ts";
-import { RouterBench, type StartedNode } from "./routerBench.ts";
+import { RouterTestHarness, type StartedNode } from "./routerTestHarness.ts";
 
 describe("A document request on the platform", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
     let node: StartedNode;
     let first: EndpointStandin;
     let second: EndpointStandin;
 
     before(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
         first = await harness.addEndpoint("first", "documents");
         second = await harness.addEndpoint("second", "documents");
         node = await harness.addNode();
--- a/tests/platform/earlyAnswers.test.ts
+++ b/tests/platform/earlyAnswers.test.ts
@@ -4,7 +4,7 @@
 import { after, before, describe, it } from "node:test";
 import { createEndpointRecord } from "../../standins/router/createEndpointRecord.ts";
 import { waitUntil } from "../support/waitUntil.ts";
-import { RouterBench, type StartedNode } from "./routerBench.ts";
+import { RouterTestHarness, type StartedNode } from "./routerTestHarness.ts";
 
 const bodyLength = 90_000;
 const pauseMilliseconds = 300;
@@ -59,12 +59,12 @@
 }
 
 describe("Responses that arrive before a long body is read", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
     let node: StartedNode;
     let endpoint: EarlyEndpoint;
 
     before(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
         endpoint = await EarlyEndpoint.create();
         const record = createEndpointRecord({ service: "documents", address: endpoint.getAddress() });
         harness.store.put("servers/early", record);
--- a/tests/platform/endpointLimit.test.ts
+++ b/tests/platform/endpointLimit.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { setTimeout as wait } from "node:timers/promises";
 import type { EndpointStandin } from "../../standins/router/endpointStandin.ts";
-import { RouterBench } from "./routerBench.ts";
+import { RouterTestHarness } from "./routerTestHarness.ts";
 
 const nodeCount = 3;
 const requestsPerSecond = 36;
@@ -14,10 +14,10 @@
 
 // Guards against ignoring the rate limit that endpoints report in their responses: they got two to three times as many requests.
 describe("An endpoint with a rate limit", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
 
     beforeEach(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
     });
 
     afterEach(() => harness.close());
--- a/tests/platform/harmfulRequest.test.ts
+++ b/tests/platform/harmfulRequest.test.ts
@@ -7,7 +7,7 @@
 import assert from "node:assert/strict";
 import { after, before, describe, it } from "node:test";
 import { setTimeout as wait } from "node:timers/promises";
-import { RouterBench, type StartedNode } from "./routerBench.ts";
+import { RouterTestHarness, type StartedNode } from "./routerTestHarness.ts";
 
 const harmfulBody = "harmful";
 const firstStages = 12;
@@ -19,11 +19,11 @@
 const gossipMilliseconds = 1_000;
 
 describe("A request that crashes the endpoints that run it", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
     let nodes: StartedNode[];
 
     before(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
         for (let index = 0; index < firstStages; index++) {
             const endpoint = await harness.addEndpoint(`a${index}`, "model", { from: 0, to: 4 });
             endpoint.behaviour = { endsOnBody: harmfulBody };
--- a/tests/platform/lateNode.test.ts
+++ b/tests/platform/lateNode.test.ts
@@ -3,19 +3,19 @@
 import { callerKey } from "../../standins/router/callerKey.ts";
 import type { EndpointStandin } from "../../standins/router/endpointStandin.ts";
 import { leaveWhileBusy } from "../support/leaveWhileBusy.ts";
-import { RouterBench, type StartedNode } from "./routerBench.ts";
+import { RouterTestHarness, type StartedNode } from "./routerTestHarness.ts";
 
 const count = 20;
 
 // Guards against forwarding requests whose callers have disconnected. When the event loop of a node is blocked, a request and the end
 // of its connection arrive together, and the request was forwarded before the end was read.
 describe("Requests whose callers disconnected while the node was blocked", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
     let node: StartedNode;
     let endpoints: EndpointStandin[];
 
     before(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
         endpoints = [
             await harness.addEndpoint("d1", "documents"),
             await harness.addEndpoint("a1", "model", { from: 0, to: 4 }),
--- a/tests/platform/platformChanges.test.ts
+++ b/tests/platform/platformChanges.test.ts
@@ -4,16 +4,16 @@
 import { createEndpointRecord } from "../../standins/router/createEndpointRecord.ts";
 import { KeyValueStandin } from "../../standins/router/keyValueStandin.ts";
 import { waitUntil } from "../support/waitUntil.ts";
-import { RouterBench, type StartedNode } from "./routerBench.ts";
+import { RouterTestHarness, type StartedNode } from "./routerTestHarness.ts";
 
 describe("Changes on the platform", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
     let refused: KeyValueStandin;
     let node: StartedNode;
     let other: StartedNode;
 
     before(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
         refused = await KeyValueStandin.create();
         refused.faults = { refuseWith: 503 };
         await harness.addEndpoint("first", "documents");
@@ -68,7 +68,7 @@
     });
 
     it("are missing at a node without a configuration, which responds with 503", async () => {
-        const isolated = await RouterBench.create();
+        const isolated = await RouterTestHarness.create();
         isolated.store.faults = { refuseWith: 503 };
         const started = await isolated.addNode();
         const answer = await isolated.send(started, "/safe/x");
@@ -79,7 +79,7 @@
     });
 
     it("place the layers on empty endpoints once, with a fencing number", async () => {
-        const placing = await RouterBench.create();
+        const placing = await RouterTestHarness.create();
         for (const id of ["e1", "e2", "e3", "e4"]) {
             await placing.addEndpoint(id, "model");
         }
@@ -98,7 +98,7 @@
     });
 
     it("leave the placement lease unclaimed while there are no orders to give", async () => {
-        const idle = await RouterBench.create();
+        const idle = await RouterTestHarness.create();
         const { node: alone } = await idle.addNode();
         await waitUntil("it is ready", () => alone.isReady());
         await new Promise(resolve => setTimeout(resolve, 1_000));
@@ -108,7 +108,7 @@
     });
 
     it("hand the placement lease over within two seconds of a stop", async () => {
-        const pair = await RouterBench.create();
+        const pair = await RouterTestHarness.create();
         // The lease is held while there are orders to give. These endpoints respond to none, so the orders stay pending.
         for (const port of [1, 2]) {
             const address = `127.0.0.1:${port}`;
@@ -133,7 +133,7 @@
     });
 
     it("place the layers even if the store loses the responses to writes", async () => {
-        const placing = await RouterBench.create();
+        const placing = await RouterTestHarness.create();
         await placing.addEndpoint("e1", "model");
         await placing.addEndpoint("e2", "model");
         placing.store.faults = { losesAnswers: true };
--- a/tests/platform/routerBench.ts
+++ b/tests/platform/routerTestHarness.ts
@@ -43,7 +43,7 @@
 let requestCount = 0;
 
 /** Test harness with a store, endpoints and router nodes, all in this process and on loopback addresses. */
-export class RouterBench {
+export class RouterTestHarness {
     readonly store: KeyValueStandin;
     readonly endpoints = new Map<string, EndpointStandin>();
     readonly nodes: StartedNode[] = [];
@@ -53,8 +53,8 @@
     }
 
     /** Starts a store with a configuration. */
-    static async create(): Promise<RouterBench> {
-        const harness = new RouterBench(await KeyValueStandin.create());
+    static async create(): Promise<RouterTestHarness> {
+        const harness = new RouterTestHarness(await KeyValueStandin.create());
         harness.store.put("op/config", createConfiguration(1));
         return harness;
     }
--- a/tests/platform/streamPath.test.ts
+++ b/tests/platform/streamPath.test.ts
@@ -2,17 +2,17 @@
 import { after, before, beforeEach, describe, it } from "node:test";
 import type { EndpointStandin } from "../../standins/router/endpointStandin.ts";
 import { waitUntil } from "../support/waitUntil.ts";
-import { RouterBench, type StartedNode } from "./routerBench.ts";
+import { RouterTestHarness, type StartedNode } from "./routerTestHarness.ts";
 
 const requestCount = 12;
 
 describe("A stream on the platform", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
     let node: StartedNode;
     let firsts: EndpointStandin[];
 
     before(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
         firsts = [
             await harness.addEndpoint("a1", "model", { from: 0, to: 4 }),
             await harness.addEndpoint("a2", "model", { from: 0, to: 4 }),
--- a/tests/process/commandLine/commandLine.test.ts
+++ b/tests/process/commandLine/commandLine.test.ts
@@ -105,16 +105,16 @@
         const example = new URL("../../../docs/examples/node.settings.jsonc", import.meta.url).pathname;
         await Promise.all([
             doTest(["settings", "check", example], ExitCode.Success, /entry-1/),
-            doTest(["settings", "check", broken], ExitCode.BrokenFile, /^$/, /broken\.jsonc:2:9: vm: /),
-            doTest(["node", "--settings", join(folder, "none")], ExitCode.BrokenFile, /^$/, /can't be read/),
+            doTest(["settings", "check", broken], ExitCode.InvalidFile, /^$/, /broken\.jsonc:2:9: vm: /),
+            doTest(["node", "--settings", join(folder, "none")], ExitCode.InvalidFile, /^$/, /can't be read/),
             doTest(["config", "check", file], ExitCode.Success, /is correct: 0 services/),
-            doTest(["config", "check", broken], ExitCode.BrokenFile, /^$/, /broken\.jsonc:2:3: vm: /),
+            doTest(["config", "check", broken], ExitCode.InvalidFile, /^$/, /broken\.jsonc:2:3: vm: /),
         ]);
     });
 
     it("applies, shows and lists configurations", async () => {
         const apply = ["config", "apply", file, "--store", store];
-        await doTest(["config", "show", "--store", store], ExitCode.BrokenFile, /^$/, /does not hold/);
+        await doTest(["config", "show", "--store", store], ExitCode.InvalidFile, /^$/, /does not hold/);
         await doTest(apply, ExitCode.Usage, /empty store/, /--yes/);
         await doTest(
             [...apply, "--yes", "--author", "ana", "--edit", "e-1"],
--- a/tests/process/commandLine/explain/requestStory.test.ts
+++ b/tests/process/commandLine/explain/requestStory.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { formatStory } from "../../../../src/process/commandLine/explain/formatStory.ts";
-import { findRequestStory } from "../../../../src/process/commandLine/explain/requestStory.ts";
+import { formatRequestLog } from "../../../../src/process/commandLine/explain/formatRequestLog.ts";
+import { findRequestLog } from "../../../../src/process/commandLine/explain/requestStory.ts";
 
 function createLine(second: number, event: string, fields: object, prefix = ""): string {
     const time = new Date(Date.UTC(2026, 0, 1, 0, 0, second)).toISOString();
@@ -21,7 +21,7 @@
 
 describe("findRequestStory", () => {
     it("returns the lines about the request and its endpoints at that time, in order", () => {
-        const story = findRequestStory(lines, "r");
+        const story = findRequestLog(lines, "r");
         assert.deepEqual(story.map(({ event, isContext }) => [event, isContext]), [
             ["FL1711", false],
             ["FL1811", true],
@@ -30,11 +30,11 @@
     });
 
     it("returns nothing for an unknown request", () => {
-        assert.deepEqual(findRequestStory(lines, "unknown"), []);
+        assert.deepEqual(findRequestLog(lines, "unknown"), []);
     });
 
     it("is printed with the time since the first line and the inputs of each decision", () => {
-        const [first, second] = formatStory(findRequestStory(lines, "r"));
+        const [first, second] = formatRequestLog(findRequestLog(lines, "r"));
         assert.match(first!, /^ +\+0 ms request .*FL1711 .*cause=It broke\./);
         assert.match(second!, /^ +\+1000 ms \(endpoint\) .*endpoint=e3$/);
     });
--- a/tests/version/applyConfiguration.test.ts
+++ b/tests/version/applyConfiguration.test.ts
@@ -49,7 +49,7 @@
     it("rejects an invalid text without a call", async () => {
         const store = MemoryStore.create();
         const applied = await apply(store, 0, "x", { text: "{" });
-        assert.equal(applied.err && applied.val.kind, ApplyErrorKind.BrokenText);
+        assert.equal(applied.err && applied.val.kind, ApplyErrorKind.InvalidText);
         assert.equal(applied.err && applied.val.faults?.length, 1);
         assert.equal(store.getCallCount(), 0);
     });
@@ -58,7 +58,7 @@
         const store = MemoryStore.create();
         await apply(store, 0, "x");
         const applied = await apply(store, 1, "y", { text: `{ "claims": { "shards": 5 } }` });
-        assert.equal(applied.err && applied.val.kind, ApplyErrorKind.ClaimsChanged);
+        assert.equal(applied.err && applied.val.kind, ApplyErrorKind.ClaimParametersChanged);
         assert.equal(readStored(store).version, 1);
     });
 
@@ -156,7 +156,7 @@
         const store = MemoryStore.create();
         store.put(StoredConfiguration.key, "junk");
         const applied = await apply(store, 0, "x");
-        assert.equal(applied.err && applied.val.kind, ApplyErrorKind.BrokenStoredValue);
+        assert.equal(applied.err && applied.val.kind, ApplyErrorKind.InvalidStoredValue);
         assert.equal(store.peek(StoredConfiguration.key)?.value, "junk");
     });
 
--- a/tests/version/configurationWatcher.test.ts
+++ b/tests/version/configurationWatcher.test.ts
@@ -71,10 +71,10 @@
         assert.ok(held !== undefined && behind.length > 0);
         const stored = behind.at(-1);
         put(store, 1, "{ }");
-        const overtaken = await restoreStoredConfiguration({ store, held, stored, wallTime: 0 });
+        const overtaken = await restoreStoredConfiguration({ store, current: held, stored, wallTime: 0 });
         assert.equal(overtaken.unwrap().swapped, false);
         const current = store.peek(StoredConfiguration.key);
-        const restored = await restoreStoredConfiguration({ store, held, stored: current, wallTime: 0 });
+        const restored = await restoreStoredConfiguration({ store, current: held, stored: current, wallTime: 0 });
         assert.equal(restored.unwrap().swapped, true);
         assert.equal(StoredConfiguration.decode(store.peek(StoredConfiguration.key)?.value ?? "").unwrap().version, 2);
         watcher.stop();
