--- a/bench/recovery/measureNodeDeath.ts
+++ b/bench/recovery/measureNodeDeath.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { LocalDeployment } from "../../scripts/deployment/localDeployment.ts";
 import { type ChatOutcome, sendChat } from "../../scripts/deployment/sendChat.ts";
-import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../standins/engine/referenceModel.ts";
 
 /** Figures of the callers while nodes die. Times are in milliseconds. */
 export interface NodeDeathFigures {
@@ -90,5 +90,5 @@
 
 function isCorrect(deployment: LocalDeployment, prompt: string, { isWhole, text }: ChatOutcome): boolean {
     const { modelLayers } = deployment;
-    return isWhole && text === referenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
+    return isWhole && text === computeReferenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
 }
--- a/bench/recovery/streamLoad.ts
+++ b/bench/recovery/streamLoad.ts
@@ -1,5 +1,5 @@
 import type { RandomSource } from "../../src/process/randomSource.ts";
-import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../standins/engine/referenceModel.ts";
 import type { Router } from "./router.ts";
 
 /** Options of a {@link StreamLoad}. */
@@ -114,7 +114,8 @@
         if (this.controller.signal.aborted) {
             return;
         }
-        const isCorrect = isComplete && text === referenceAnswer({ modelLayers: layers, prompt, maximumTokens }).text;
+        const isCorrect = isComplete
+            && text === computeReferenceAnswer({ modelLayers: layers, prompt, maximumTokens }).text;
         this.wrongAnswers += isCorrect ? 0 : 1;
     }
 }
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -6,7 +6,7 @@
 import { spawnSync } from "node:child_process";
 import { request } from "undici";
 import { v7 as createUuid } from "uuid";
-import { referenceAnswer } from "../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../standins/engine/referenceModel.ts";
 import { LocalDeployment } from "./deployment/localDeployment.ts";
 import { sendChat } from "./deployment/sendChat.ts";
 
@@ -64,7 +64,7 @@
         maximumTokens,
         isStreamed,
     });
-    const expected = referenceAnswer({
+    const expected = computeReferenceAnswer({
         modelLayers: deployment.modelLayers,
         prompt: `user: ${prompt}`,
         maximumTokens,
--- a/scripts/soak/router/soakEndpoint.ts
+++ b/scripts/soak/router/soakEndpoint.ts
@@ -79,18 +79,18 @@
             id,
             events: eventsOfStream,
             eventMilliseconds,
-            onLayers: () => this.register(),
-            onEnded: () => void this.restart(),
+            onLayersChanged: () => this.register(),
+            onStopped: () => void this.restart(),
         });
-        standin.behaviour = { endsOnBody: harmfulBody };
+        standin.behaviour = { stopsOnBody: harmfulBody };
         this.incarnations.push({ standin, id, address: standin.getAddress(), leavingSince: undefined });
-        this.proxy.resetAll();
+        this.proxy.resetConnections();
         this.register();
     }
 
     /** Sets how the endpoint responds. */
     setBehaviour(behaviour: EndpointBehaviour): void {
-        this.getCurrent().standin.behaviour = { endsOnBody: harmfulBody, ...behaviour };
+        this.getCurrent().standin.behaviour = { stopsOnBody: harmfulBody, ...behaviour };
     }
 
     /** Registers as draining and continues to serve. */
--- a/scripts/soak/sendPlanned.ts
+++ b/scripts/soak/sendPlanned.ts
@@ -1,4 +1,4 @@
-import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../standins/engine/referenceModel.ts";
 import type { LocalDeployment } from "../deployment/localDeployment.ts";
 import { sendChat } from "../deployment/sendChat.ts";
 import { sendDocument } from "../deployment/sendDocument.ts";
@@ -72,7 +72,7 @@
         readDelayMilliseconds,
     });
     const { modelLayers } = deployment;
-    const expected = referenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
+    const expected = computeReferenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
     const { outcome, errorCode, errorMessage, isReplayed, chain, longestGapMilliseconds } = answer;
     const result = {
         ...initialResult,
--- a/standins/engine/cacheEventLog.ts
+++ b/standins/engine/cacheEventLog.ts
@@ -59,7 +59,7 @@
     }
 
     /** Gets the highest assigned sequence number. */
-    getSequence(): number {
+    getLastSequenceNumber(): number {
         return this.lastSequenceNumber;
     }
 }
--- a/standins/engine/cacheTransfer.ts
+++ b/standins/engine/cacheTransfer.ts
@@ -87,7 +87,7 @@
             return createError(409, added.val, "The engine is out of memory. Import into another engine.");
         }
         restoreSequence(added.val, blob.layerStart, data);
-        sequences.countUse(layerPositions);
+        sequences.addUsage(layerPositions);
         return Ok(undefined);
     }
 }
--- a/standins/engine/engineFaults.ts
+++ b/standins/engine/engineFaults.ts
@@ -33,17 +33,17 @@
     }
 
     /** Gets if the current pass must fail, and decrements the number of remaining failures. */
-    takeFailure(): boolean {
+    consumeFailure(): boolean {
         return this.remainingFailures > 0 && this.remainingFailures-- > 0;
     }
 
     /** Gets if the connection of the current batch must be reset, and decrements the number of remaining resets. */
-    takeReset(): boolean {
+    consumeReset(): boolean {
         return this.remainingResets > 0 && this.remainingResets-- > 0;
     }
 
     /** Gets if the current pass must be refused, and decrements the number of remaining refusals. */
-    takeRefusal(): boolean {
+    consumeRefusal(): boolean {
         return this.remainingRefusals > 0 && this.remainingRefusals-- > 0;
     }
 }
--- a/standins/engine/engineRoutes.ts
+++ b/standins/engine/engineRoutes.ts
@@ -30,7 +30,7 @@
         "POST",
         "/v1/orders",
         withBody(messageSchemas.engineOrder, (order, exchange) => {
-            sendOutcome(exchange, engine.orders.obey(order));
+            sendOutcome(exchange, engine.orders.execute(order));
         }),
     );
     add(
--- a/standins/engine/engineStandin.ts
+++ b/standins/engine/engineStandin.ts
@@ -12,8 +12,8 @@
 import { HeldLayers } from "./heldLayers.ts";
 import type { StandinExchange } from "./http/standinExchange.ts";
 import { StandinServer } from "./http/standinServer.ts";
-import { LaggedReading } from "./laggedReading.ts";
 import type { messageSchemas } from "./messageSchemas.ts";
+import { PeriodicSample } from "./periodicSample.ts";
 import { PrefixCache } from "./prefixCache.ts";
 import { SequenceStore } from "./sequence/sequenceStore.ts";
 import { PassRunner } from "./step/passRunner.ts";
@@ -37,7 +37,7 @@
     private readonly faults = EngineFaults.create();
     private readonly heldLayers: HeldLayers;
     private readonly stepLoop: StepLoop;
-    private readonly loadSample: LaggedReading<EngineLoad>;
+    private readonly loadSample: PeriodicSample<EngineLoad>;
     private readonly server: StandinServer;
     /** Memory capacity, in positions of one layer. */
     private readonly memoryLayerPositions: number;
@@ -73,7 +73,7 @@
         const prefixCache = PrefixCache.create(options.prefixCacheBlocks, this.cacheEvents);
         const runner = PassRunner.create({ modelLayers, heldLayers, sequences, prefixCache, record, faults });
         this.stepLoop = StepLoop.create({ clock, engine: options, runner, record, faults });
-        this.loadSample = LaggedReading.create({
+        this.loadSample = PeriodicSample.create({
             clock,
             intervalMilliseconds: options.loadLagMilliseconds,
             read: () => this.readLoad(),
@@ -115,13 +115,13 @@
 
     /** Adds the passes of a batch and streams each result on the batch's response when the pass completes. */
     addBatch(batch: PassBatch, exchange: StandinExchange): void {
-        const isReset = this.faults.takeReset();
+        const isReset = this.faults.consumeReset();
         let remaining = batch.passes.length;
         exchange.startLines();
         const sendResult = (result: PassResult) => {
             remaining--;
             if (isReset) {
-                exchange.breakLine(result);
+                exchange.sendPartialLine(result);
                 return;
             }
             exchange.sendLine(result);
@@ -147,7 +147,7 @@
             ...value,
             fencingNumber: this.orders.getFencingNumber(),
             loadAgeMilliseconds: ageMilliseconds,
-            cacheSequence: this.cacheEvents.getSequence(),
+            cacheSequence: this.cacheEvents.getLastSequenceNumber(),
         };
     }
 
@@ -166,7 +166,7 @@
     private readLoad(): EngineLoad {
         const heldLayers = Math.max(1, this.heldLayers.getCount());
         return {
-            queue: this.stepLoop.getQueue(),
+            queue: this.stepLoop.getQueueLength(),
             sequences: this.sequences.getCount(),
             freePositions: Math.floor(this.sequences.getFreeLayerPositions() / heldLayers),
         };
--- a/standins/engine/http/connectionGate.ts
+++ b/standins/engine/http/connectionGate.ts
@@ -25,7 +25,7 @@
     }
 
     /** Runs an action at once, after the connections are unfrozen, or never if the connection is silent. */
-    pass(socket: Socket, action: () => void): void {
+    run(socket: Socket, action: () => void): void {
         if (this.silentSockets.has(socket)) {
             return;
         }
@@ -45,7 +45,7 @@
         const deferredActions = this.deferredActions;
         this.deferredActions = [];
         for (const { socket, action } of deferredActions) {
-            this.pass(socket, action);
+            this.run(socket, action);
         }
     }
 
--- a/standins/engine/http/standinExchange.ts
+++ b/standins/engine/http/standinExchange.ts
@@ -68,7 +68,7 @@
     }
 
     /** Sends half of a line and then destroys the connection. */
-    breakLine(value: unknown): void {
+    sendPartialLine(value: unknown): void {
         const line = JSON.stringify(value);
         this.deliver(response => {
             response.write(line.slice(0, line.length / 2), () => response.socket?.destroy());
@@ -91,10 +91,10 @@
             writeIfOpen();
         }
         else if (hopDelayMilliseconds > 0) {
-            setTimeout(() => gate.pass(request.socket, writeIfOpen), hopDelayMilliseconds);
+            setTimeout(() => gate.run(request.socket, writeIfOpen), hopDelayMilliseconds);
         }
         else {
-            gate.pass(request.socket, writeIfOpen);
+            gate.run(request.socket, writeIfOpen);
         }
     }
 }
--- a/standins/engine/http/standinServer.ts
+++ b/standins/engine/http/standinServer.ts
@@ -99,10 +99,10 @@
             handle();
         }
         else if (hopDelayMilliseconds > 0) {
-            setTimeout(() => gate.pass(request.socket, handle), hopDelayMilliseconds);
+            setTimeout(() => gate.run(request.socket, handle), hopDelayMilliseconds);
         }
         else {
-            gate.pass(request.socket, handle);
+            gate.run(request.socket, handle);
         }
     }
 
--- a/standins/engine/laggedReading.ts
+++ b/standins/engine/periodicSample.ts
@@ -1,6 +1,6 @@
 import type { Clock, TimerHandle } from "../../src/process/clock.ts";
 
-/** Options of {@link LaggedReading}. */
+/** Options of {@link PeriodicSample}. */
 interface PeriodicSampleOptions<T> {
     clock: Clock;
     /** Interval between two samples, in milliseconds; 0 to read the value at each call. */
@@ -9,7 +9,7 @@
 }
 
 /** A value that is sampled at intervals and stays the same in between. */
-export class LaggedReading<T> {
+export class PeriodicSample<T> {
     private readonly options: PeriodicSampleOptions<T>;
     private value: T;
     private sampleTime: number;
@@ -23,8 +23,8 @@
     }
 
     /** Takes the first sample and schedules the next ones. */
-    static create<T>(options: PeriodicSampleOptions<T>): LaggedReading<T> {
-        return new LaggedReading(options);
+    static create<T>(options: PeriodicSampleOptions<T>): PeriodicSample<T> {
+        return new PeriodicSample(options);
     }
 
     /** Gets the last sample and its age in milliseconds. */
--- a/standins/engine/prefixCache.ts
+++ b/standins/engine/prefixCache.ts
@@ -37,7 +37,7 @@
      * @param inputs - Inputs from position 0.
      * @returns Number of leading positions that were already cached.
      */
-    use(model: string, layerStart: number, inputs: number[]): number {
+    lookUpAndStore(model: string, layerStart: number, inputs: number[]): number {
         let cachedPositions = 0;
         let hash = modelFunction.tokenize(model)[0] ?? 0;
         hash = modelFunction.mix(hash, layerStart);
--- a/standins/engine/referenceModel.ts
+++ b/standins/engine/referenceModel.ts
@@ -22,7 +22,7 @@
  * Computes an answer without splitting the model. Tests compare it with the answer of several engines to detect wrong,
  * missing or duplicate tokens.
  */
-export function referenceAnswer(input: ReferenceInput): ReferenceAnswer {
+export function computeReferenceAnswer(input: ReferenceInput): ReferenceAnswer {
     const digests = new Int32Array(input.modelLayers).fill(modelFunction.emptyDigest);
     const tokens: number[] = [];
     let inputs = modelFunction.tokenize(input.prompt);
--- a/standins/engine/sequence/sequence.ts
+++ b/standins/engine/sequence/sequence.ts
@@ -38,7 +38,7 @@
     }
 
     /** Gets if all layers of a range have processed exactly `position` positions. */
-    isAt(position: number, layerStart: number, layerEnd: number): boolean {
+    isAtPosition(position: number, layerStart: number, layerEnd: number): boolean {
         for (let layer = layerStart; layer < layerEnd; layer++) {
             if (this.counts[layer] !== position) {
                 return false;
--- a/standins/engine/sequence/sequenceStore.ts
+++ b/standins/engine/sequence/sequenceStore.ts
@@ -81,7 +81,7 @@
     }
 
     /** Adds to the used memory, in positions of one layer. */
-    countUse(layerPositions: number): void {
+    addUsage(layerPositions: number): void {
         this.usedLayerPositions += layerPositions;
     }
 
--- a/standins/engine/step/passRunner.ts
+++ b/standins/engine/step/passRunner.ts
@@ -40,7 +40,7 @@
     }
 
     /** Gets the stored result of a pass that has already run. */
-    getKeptResult(pass: Pass, key: string): PassResult | undefined {
+    getStoredResult(pass: Pass, key: string): PassResult | undefined {
         const { sequences } = this.options;
         return sequences.isClosed(pass) ? undefined : sequences.getSequence(getIdentity(pass))?.results.get(key);
     }
@@ -56,9 +56,9 @@
         }
         const sequence = admission.val;
         const cachedPositions = pass.position === 0
-            ? this.options.prefixCache.use(pass.model, pass.layerStart, inputs)
+            ? this.options.prefixCache.lookUpAndStore(pass.model, pass.layerStart, inputs)
             : 0;
-        const result = faults.takeFailure()
+        const result = faults.consumeFailure()
             ? this.runPartially(sequence, pass, inputs)
             : this.runCompletely(sequence, pass, inputs);
         sequence.results.set(key, result);
@@ -77,12 +77,12 @@
         if (!heldLayers.hasRange({ model, start: layerStart, end: layerEnd })) {
             return Err("layers");
         }
-        if (faults.takeRefusal()) {
+        if (faults.consumeRefusal()) {
             return Err("memory");
         }
         const sequence = sequences.getSequence(getIdentity(pass));
         if (sequence) {
-            return sequence.isAt(position, layerStart, layerEnd) ? Ok(sequence) : Err("order");
+            return sequence.isAtPosition(position, layerStart, layerEnd) ? Ok(sequence) : Err("order");
         }
         if (position !== 0) {
             return Err("order");
@@ -118,7 +118,7 @@
     private runLayers(sequence: Sequence, pass: Pass, inputs: number[], layerEnd: number): number[] {
         const activations = pass.layerStart === 0 ? inputs.map(modelFunction.embed) : inputs;
         const outputs = sequence.run(activations, pass.layerStart, layerEnd);
-        this.options.sequences.countUse(inputs.length * (layerEnd - pass.layerStart));
+        this.options.sequences.addUsage(inputs.length * (layerEnd - pass.layerStart));
         this.options.record.addRun(pass, inputs.length, layerEnd);
         return outputs;
     }
--- a/standins/engine/step/stepLoop.ts
+++ b/standins/engine/step/stepLoop.ts
@@ -56,7 +56,7 @@
             pendingPass.listeners.push(sendResult);
             return;
         }
-        const storedResult = runner.getKeptResult(pass, key);
+        const storedResult = runner.getStoredResult(pass, key);
         if (storedResult) {
             record.summary.repeatedPasses++;
             sendResult(storedResult);
@@ -69,7 +69,7 @@
     }
 
     /** Gets the number of passes that are waiting or part of the running step. */
-    getQueue(): number {
+    getQueueLength(): number {
         return this.waiting.length + (this.isBusy ? this.lastStepPassCount : 0);
     }
 
--- a/standins/engine/weightOrders.ts
+++ b/standins/engine/weightOrders.ts
@@ -40,7 +40,7 @@
     }
 
     /** Executes an order. A load takes effect when the weights are loaded. */
-    obey(order: EngineOrder): Result<undefined, OrderError> {
+    execute(order: EngineOrder): Result<undefined, OrderError> {
         const { checksFencing, modelLayers, heldLayers, clock, weightLoadMilliseconds } = this.options;
         const { fencingNumber, kind, range } = order;
         if (range.end > (modelLayers[range.model] ?? 0)) {
--- a/standins/network/delayLine.ts
+++ b/standins/network/delayQueue.ts
@@ -6,15 +6,15 @@
 }
 
 /** Runs actions after a delay and always in the order of their arrival, so the bytes of a connection stay in order. */
-export class DelayLine {
+export class DelayQueue {
     private readonly actions: DelayedAction[] = [];
     private timer: NodeJS.Timeout | undefined;
 
     private constructor() {}
 
     /** Creates an empty queue. */
-    static create(): DelayLine {
-        return new DelayLine();
+    static create(): DelayQueue {
+        return new DelayQueue();
     }
 
     /**
--- a/standins/network/loopbackProxy.ts
+++ b/standins/network/loopbackProxy.ts
@@ -1,6 +1,6 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 import { parseAddress } from "../../src/process/settings/parseAddress.ts";
-import { DelayLine } from "./delayLine.ts";
+import { DelayQueue } from "./delayQueue.ts";
 import { ProxyMode } from "./proxyMode.ts";
 
 /** Less than the time of two health checks of a load balancer, so that a delayed target is slow but not considered dead. */
@@ -60,12 +60,12 @@
         this.mode = mode;
         if (mode === ProxyMode.Reset || hasLostBytes) {
             // Reset connections that lost bytes, because TCP never delivers a stream with a gap.
-            this.resetAll();
+            this.resetConnections();
         }
     }
 
     /** Resets the open connections. New connections are not affected. */
-    resetAll(): void {
+    resetConnections(): void {
         for (const { caller, target } of this.pairs) {
             reset(caller);
             reset(target);
@@ -73,7 +73,7 @@
     }
 
     /** Closes the open connections. New connections are not affected. */
-    cut(): void {
+    closeConnections(): void {
         for (const { caller, target } of this.pairs) {
             caller.destroy();
             target.destroy();
@@ -81,7 +81,7 @@
     }
 
     /** Freezes the open connections. New connections are not affected. */
-    freeze(): void {
+    freezeConnections(): void {
         for (const { caller, target } of this.pairs) {
             caller.pause();
             target.pause();
@@ -89,15 +89,15 @@
     }
 
     /** Freezes the open connections and all new ones. */
-    freezeAll(): void {
+    freezeAllConnections(): void {
         this.freezesNewConnections = true;
-        this.freeze();
+        this.freezeConnections();
     }
 
     /** Stops the proxy and closes all connections. */
     async close(): Promise<void> {
         const closed = new Promise(resolve => this.server.close(resolve));
-        this.cut();
+        this.closeConnections();
         await closed;
     }
 
@@ -135,7 +135,7 @@
 
     /** Forwards bytes in one direction, except in the mode that cuts this direction. */
     private pipe(from: Socket, to: Socket, cutMode: ProxyMode): void {
-        const queue = DelayLine.create();
+        const queue = DelayQueue.create();
         const forward = (action: () => void) => {
             if (this.mode !== cutMode && this.mode !== ProxyMode.Silence) {
                 queue.add(this.mode === ProxyMode.Delay ? delayMilliseconds : 0, action);
--- a/standins/platform/createRangeTest.ts
+++ b/standins/platform/createRangePredicate.ts
@@ -5,7 +5,7 @@
  * @param key - First key of the range.
  * @param rangeEnd - End of the range (exclusive); empty for a single key, a zero byte for no end.
  */
-export function createRangeTest(key: string, rangeEnd: string): (candidate: string) => boolean {
+export function createRangePredicate(key: string, rangeEnd: string): (candidate: string) => boolean {
     if (rangeEnd === "") {
         return candidate => candidate === key;
     }
--- a/standins/platform/etcdGateway.ts
+++ b/standins/platform/etcdGateway.ts
@@ -1,6 +1,6 @@
 import type { z } from "zod";
 import { createHeader } from "./createHeader.ts";
-import { createRangeTest } from "./createRangeTest.ts";
+import { createRangePredicate } from "./createRangePredicate.ts";
 import { etcdRequestSchemas } from "./etcdRequestSchemas.ts";
 import { formatKeyRecord } from "./formatKeyRecord.ts";
 import type { KeyValueState } from "./keyValueState.ts";
@@ -95,7 +95,7 @@
 
     private readRange({ key, range_end: rangeEnd, limit }: RangeRequest): object {
         const single = rangeEnd === "" ? this.state.getRecord(key) : undefined;
-        const records = single === undefined ? this.state.getRecords(createRangeTest(key, rangeEnd)) : [single];
+        const records = single === undefined ? this.state.getRecords(createRangePredicate(key, rangeEnd)) : [single];
         const page = limit > 0 ? records.slice(0, limit) : records;
         return {
             kvs: page.map(formatKeyRecord),
--- a/standins/platform/faultInjector.ts
+++ b/standins/platform/faultInjector.ts
@@ -47,7 +47,7 @@
     }
 
     /** Gets if the current response must be lost, and decrements the number of remaining responses to lose. */
-    tryTakeLostAnswer(): boolean {
+    tryConsumeLostAnswer(): boolean {
         if (this.faults.loseAnswers === 0) {
             return false;
         }
--- a/standins/platform/platformStandin.ts
+++ b/standins/platform/platformStandin.ts
@@ -172,7 +172,7 @@
         if (answer === undefined) {
             return;
         }
-        if (answer.hasWritten && this.faults.tryTakeLostAnswer()) {
+        if (answer.hasWritten && this.faults.tryConsumeLostAnswer()) {
             response.destroy();
             return;
         }
--- a/standins/platform/watchStreams.ts
+++ b/standins/platform/watchStreams.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from "node:http";
 import type { Clock, TimerHandle } from "../../src/process/clock.ts";
 import { createHeader } from "./createHeader.ts";
-import { createRangeTest } from "./createRangeTest.ts";
+import { createRangePredicate } from "./createRangePredicate.ts";
 import { etcdRequestSchemas } from "./etcdRequestSchemas.ts";
 import { formatKeyRecord } from "./formatKeyRecord.ts";
 import type { KeyEvent } from "./keyEvent.ts";
@@ -49,7 +49,7 @@
         const create = etcdRequestSchemas.watch.parse(body).create_request;
         const stream: WatchStream = {
             response,
-            isInRange: createRangeTest(create.key, create.range_end),
+            isInRange: createRangePredicate(create.key, create.range_end),
             startRevision: create.start_revision || state.getRevision() + 1,
             hasProgressNotices: create.progress_notify,
         };
--- a/standins/router/endpointBehaviour.ts
+++ b/standins/router/endpointBehaviour.ts
@@ -1,11 +1,11 @@
 /** How the stand-in handles requests. */
 export interface EndpointBehaviour {
     /** Refuses requests with this status and marks them as not executed. */
-    refuseWith?: number;
+    refusalStatus?: number;
     /** Runs the request and resets the connection without a response. */
     losesAnswer?: boolean;
     /** Runs the request and responds with this status. */
-    failWith?: number;
+    failureStatus?: number;
     /** Sends a different request ID in the response. */
     answersWrongRequest?: boolean;
     /** Omits the signature of the response. */
@@ -17,7 +17,7 @@
     /** Closes the connection of a stream in the middle of the event that follows this event. */
     cutsAfterEvent?: number;
     /** Stops the endpoint and closes all its connections shortly after it starts to run a request with this body. */
-    endsOnBody?: string;
+    stopsOnBody?: string;
     /** Stalls a stream after this event until an order moves the request to another chain. */
     stallsAfterEvent?: number;
     /** Rate limit for all nodes together, which the endpoint sends in its responses. */
--- a/standins/router/endpointStandin.ts
+++ b/standins/router/endpointStandin.ts
@@ -13,9 +13,9 @@
     /** Layers that the endpoint holds initially. */
     layers?: { from: number; to: number; };
     /** Called when an order has changed the layers. */
-    onLayers?(layers: { from: number; to: number; }): void;
+    onLayersChanged?(layers: { from: number; to: number; }): void;
     /** Called when a request has stopped the endpoint. */
-    onEnded?(): void;
+    onStopped?(): void;
 }
 
 const stopDelayMilliseconds = 20;
@@ -31,9 +31,9 @@
     /** Requests whose stream waits for another chain: the address of the failed stage by request ID. */
     readonly stalled = new Map<string, string>();
     /** Address of the failed stage to report for stalled streams. */
-    stalledAt = "";
+    stalledAddress = "";
     /** Whether the endpoint has stopped. */
-    hasEnded = false;
+    isStopped = false;
     private readonly options: EndpointStandinOptions;
     private readonly server: Server;
     private readonly resumeCallbacks = new Map<string, () => void>();
@@ -60,20 +60,20 @@
 
     /** Stops the endpoint and closes all connections. */
     async close(): Promise<void> {
-        if (!this.hasEnded) {
+        if (!this.isStopped) {
             await this.stop();
         }
     }
 
     private async stopByRequest(): Promise<void> {
-        if (!this.hasEnded) {
+        if (!this.isStopped) {
             await this.stop();
-            this.options.onEnded?.();
+            this.options.onStopped?.();
         }
     }
 
     private async stop(): Promise<void> {
-        this.hasEnded = true;
+        this.isStopped = true;
         await new Promise(resolve => {
             this.server.close(resolve);
             this.server.closeAllConnections();
@@ -98,7 +98,7 @@
     }
 
     private sendReport(response: ServerResponse): void {
-        const stalled = [...this.stalled.keys()].map(id => ({ id, address: this.stalledAt }));
+        const stalled = [...this.stalled.keys()].map(id => ({ id, address: this.stalledAddress }));
         sendJson(response, 200, {
             pace: 1,
             sequence: this.sequence,
@@ -134,7 +134,7 @@
         this.sequence += 1;
         this.layers = { from: Number(order["from"]), to: Number(order["to"]) };
         sendJson(response, 202, {});
-        this.options.onLayers?.(this.layers);
+        this.options.onLayersChanged?.(this.layers);
     }
 
     private runRequest(request: IncomingMessage, response: ServerResponse, body: string): void {
@@ -145,8 +145,8 @@
             sendJson(response, 421, {});
             return;
         }
-        if (behaviour.refuseWith !== undefined) {
-            response.writeHead(behaviour.refuseWith, { "request-id": id, "not-executed": "1" }).end();
+        if (behaviour.refusalStatus !== undefined) {
+            response.writeHead(behaviour.refusalStatus, { "request-id": id, "not-executed": "1" }).end();
             return;
         }
         const { method = "", url = "", headers } = request;
@@ -155,7 +155,7 @@
         response.once("close", () => {
             record.isAbandoned = !response.writableFinished;
         });
-        if (behaviour.endsOnBody === body) {
+        if (behaviour.stopsOnBody === body) {
             setTimeout(() => void this.stopByRequest(), stopDelayMilliseconds);
             return;
         }
@@ -183,7 +183,7 @@
             this.streamFrom(Number(headers["last-event-id"] ?? 0) + 1, id, response);
             return;
         }
-        const status = behaviour.failWith ?? 200;
+        const status = behaviour.failureStatus ?? 200;
         const answer = `answer of ${this.options.id}`;
         response.writeHead(status, { ...head, "content-length": answer.length }).end(answer);
         if (behaviour.sendsExtra === true) {
@@ -207,7 +207,7 @@
             return;
         }
         if (behaviour.stallsAfterEvent !== undefined && event === behaviour.stallsAfterEvent + 1) {
-            this.stalled.set(id, this.stalledAt);
+            this.stalled.set(id, this.stalledAddress);
             this.resumeCallbacks.set(id, () => {
                 this.behaviour = { ...this.behaviour, stallsAfterEvent: undefined };
                 this.streamFrom(event, id, response);
--- a/standins/router/keyValueStandin.ts
+++ b/standins/router/keyValueStandin.ts
@@ -24,7 +24,7 @@
 export class KeyValueStandin {
     faults: KeyValueFaults = {};
     /** Number of calls by path. */
-    readonly calls = new Map<string, number>();
+    readonly callCounts = new Map<string, number>();
     private readonly server: Server;
     private readonly items = new Map<string, StoredItem>();
     private readonly pendingWatches = new Set<() => void>();
@@ -92,13 +92,13 @@
 
     private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const url = new URL(request.url ?? "/", "http://store");
-        this.calls.set(url.pathname, (this.calls.get(url.pathname) ?? 0) + 1);
+        this.callCounts.set(url.pathname, (this.callCounts.get(url.pathname) ?? 0) + 1);
         const text = await readText(request);
         if (this.faults.isSilent === true) {
             return;
         }
-        if (this.faults.refuseWith !== undefined) {
-            sendJson(response, this.faults.refuseWith, { error: "Refused by an injected fault." });
+        if (this.faults.refusalStatus !== undefined) {
+            sendJson(response, this.faults.refusalStatus, { error: "Refused by an injected fault." });
             return;
         }
         switch (url.pathname) {
--- a/tests/connection/caller/slowCallers.test.ts
+++ b/tests/connection/caller/slowCallers.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { after, afterEach, before, describe, it } from "node:test";
-import { referenceAnswer } from "../../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../../standins/engine/referenceModel.ts";
 import { waitUntil } from "../../support/waitUntil.ts";
 import { NodeFixture } from "./nodeFixture.ts";
 import { RawCaller } from "./rawCaller.ts";
@@ -11,7 +11,7 @@
 function findLongPrompt(maximumTokens: number): { content: string; text: string; } {
     for (let index = 0;; index += 1) {
         const content = `${prompt}${index}`;
-        const answer = referenceAnswer({ modelLayers: 8, prompt: `user: ${content}`, maximumTokens });
+        const answer = computeReferenceAnswer({ modelLayers: 8, prompt: `user: ${content}`, maximumTokens });
         if (!answer.ended) {
             return { content, text: answer.text };
         }
--- a/tests/connection/peer/peerConnections.test.ts
+++ b/tests/connection/peer/peerConnections.test.ts
@@ -78,7 +78,7 @@
 
     it("replaces a connection that stopped responding", async () => {
         assert.equal(await getKind(connections, proxy.getAddress()), undefined);
-        proxy.freeze();
+        proxy.freezeConnections();
         assert.equal(await getKind(connections, proxy.getAddress()), PeerErrorKind.TimedOut);
         assert.equal(await getKind(connections, proxy.getAddress()), undefined);
         assert.deepEqual(numbers, [1410]);
@@ -98,7 +98,7 @@
 
     it("reconnects after the connection is closed", async () => {
         assert.equal(await getKind(connections, proxy.getAddress()), undefined);
-        proxy.cut();
+        proxy.closeConnections();
         await waitUntil("the connection is closed", () => proxy.getConnectionCount() === 0);
         await new Promise(resolve => setImmediate(resolve));
         assert.equal(await getKind(connections, proxy.getAddress()), undefined);
--- a/tests/platform/documentPath.test.ts
+++ b/tests/platform/documentPath.test.ts
@@ -58,7 +58,7 @@
     });
 
     it("is retried at another endpoint if the first one has not run it", async () => {
-        first.behaviour = { refuseWith: 503 };
+        first.behaviour = { refusalStatus: 503 };
         for (let count = 0; count < 6; count++) {
             assert.equal((await harness.send(node, "/unsafe/x")).status, 200);
         }
@@ -66,8 +66,8 @@
     });
 
     it("is rejected as not run if all endpoints reject it, with a retry delay", async () => {
-        first.behaviour = { refuseWith: 503 };
-        second.behaviour = { refuseWith: 429 };
+        first.behaviour = { refusalStatus: 503 };
+        second.behaviour = { refusalStatus: 429 };
         const answer = await harness.send(node, "/unsafe/x");
         assert.equal(answer.status, 503);
         assert.ok(Number(answer.headers["retry-after"]) > 0);
@@ -100,8 +100,8 @@
     });
 
     it("returns an endpoint's error response unchanged if it is not idempotent", async () => {
-        first.behaviour = { failWith: 500 };
-        second.behaviour = { failWith: 500 };
+        first.behaviour = { failureStatus: 500 };
+        second.behaviour = { failureStatus: 500 };
         const answer = await harness.send(node, "/unsafe/x");
         assert.equal(answer.status, 500);
         assert.match(answer.headers["response-seal"] as string, /^seal-/);
--- a/tests/platform/harmfulRequest.test.ts
+++ b/tests/platform/harmfulRequest.test.ts
@@ -26,7 +26,7 @@
         harness = await RouterTestHarness.create();
         for (let index = 0; index < firstStages; index++) {
             const endpoint = await harness.addEndpoint(`a${index}`, "model", { from: 0, to: 4 });
-            endpoint.behaviour = { endsOnBody: harmfulBody };
+            endpoint.behaviour = { stopsOnBody: harmfulBody };
         }
         await harness.addEndpoint("b1", "model", { from: 4, to: 8 });
         const columns = [{ layers: { start: 0, end: 4 }, kind: "big" }, { layers: { start: 4, end: 8 }, kind: "big" }];
@@ -41,7 +41,7 @@
 
     const countRuns = () =>
         [...harness.endpoints.values()].flatMap(({ runs }) => runs).filter(({ body }) => body === harmfulBody).length;
-    const countCrashed = () => [...harness.endpoints.values()].filter(({ hasEnded }) => hasEnded).length;
+    const countCrashed = () => [...harness.endpoints.values()].filter(({ isStopped: hasEnded }) => hasEnded).length;
     const sendHarmful = (node: StartedNode) => harness.send(node, "/model/x", { body: harmfulBody });
 
     it("is hardly forwarded any more once it has crashed three of them", async () => {
--- a/tests/platform/platformChanges.test.ts
+++ b/tests/platform/platformChanges.test.ts
@@ -15,7 +15,7 @@
     before(async () => {
         harness = await RouterTestHarness.create();
         refused = await KeyValueStandin.create();
-        refused.faults = { refuseWith: 503 };
+        refused.faults = { refusalStatus: 503 };
         await harness.addEndpoint("first", "documents");
         await harness.addEndpoint("second", "documents");
         node = await harness.addNode();
@@ -69,7 +69,7 @@
 
     it("are missing at a node without a configuration, which responds with 503", async () => {
         const isolated = await RouterTestHarness.create();
-        isolated.store.faults = { refuseWith: 503 };
+        isolated.store.faults = { refusalStatus: 503 };
         const started = await isolated.addNode();
         const answer = await isolated.send(started, "/safe/x");
         assert.equal(answer.status, 503);
--- a/tests/platform/routerTestHarness.ts
+++ b/tests/platform/routerTestHarness.ts
@@ -68,7 +68,7 @@
         const endpoint = await EndpointStandin.create({
             id,
             layers,
-            onLayers: held => this.register(id, service, held),
+            onLayersChanged: held => this.register(id, service, held),
         });
         this.endpoints.set(id, endpoint);
         this.register(id, service, layers);
--- a/tests/platform/streamPath.test.ts
+++ b/tests/platform/streamPath.test.ts
@@ -83,7 +83,7 @@
     it("is rerouted to another chain while it runs if a later stage stalls", async () => {
         for (const endpoint of firsts) {
             endpoint.behaviour = { stallsAfterEvent: 2 };
-            endpoint.stalledAt = harness.endpoints.get("b1")!.getAddress();
+            endpoint.stalledAddress = harness.endpoints.get("b1")!.getAddress();
         }
         const startedAt = performance.now();
         const answer = await harness.send(node, "/model/x");
@@ -99,7 +99,7 @@
             endpoint.orders.length = 0;
             // The report of the first stage names no address, so that it does not trigger the rerouting.
             endpoint.behaviour = { stallsAfterEvent: 2 };
-            endpoint.stalledAt = "";
+            endpoint.stalledAddress = "";
         }
         const sending = harness.send(node, "/model/x");
         await waitUntil("the stream runs", () => firsts.some(endpoint => endpoint.stalled.size > 0));
@@ -124,7 +124,7 @@
 
     it("is rejected as not run if every first stage rejects it", async () => {
         for (const endpoint of firsts) {
-            endpoint.behaviour = { refuseWith: 503 };
+            endpoint.behaviour = { refusalStatus: 503 };
         }
         const answer = await harness.send(node, "/once/x");
         assert.equal(answer.status, 503);
--- a/tests/process/membership/gossiper.test.ts
+++ b/tests/process/membership/gossiper.test.ts
@@ -45,7 +45,7 @@
         const silent = getNode(4);
         const others = nodes.slice(0, 4);
         silent.gossiper.stop();
-        silent.proxy.freezeAll();
+        silent.proxy.freezeAllConnections();
         await waitUntil("all consider it dead", () => others.every(node => node.getStateOf(silent) === "dead"));
         for (const node of others) {
             assert.equal(node.view.getAliveMembers().length, nodeCount - 1);
@@ -59,7 +59,7 @@
         for (const other of nodes) {
             other.view.onChange(change => change.member.state === "dead" && deaths.push(change.member.nodeId));
         }
-        node.proxy.freeze();
+        node.proxy.freezeConnections();
         const bytes = node.proxy.getByteCount();
         await waitUntil("new connections carry calls", () => node.proxy.getByteCount() > bytes + 10_000);
         await waitUntil("all consider it alive", () => nodes.every(other => other.getStateOf(node) === "alive"));
--- a/tests/process/orders/orderTestHarness.ts
+++ b/tests/process/orders/orderTestHarness.ts
@@ -128,7 +128,7 @@
         if (this.losesOrders) {
             return Err({ message: "The order was lost." });
         }
-        const result = this.getEngine(endpoint).orders.obey(order);
+        const result = this.getEngine(endpoint).orders.execute(order);
         sent.status = result.ok ? 200 : result.val.status;
         return Ok(sent.status);
     }
--- a/tests/standins/engineStandin.test.ts
+++ b/tests/standins/engineStandin.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it, type TestContext } from "node:test";
-import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../standins/engine/referenceModel.ts";
 import { engineHarness } from "./engineHarness.ts";
 
 const { start, send, sendOne, createPass, post, modelLayers } = engineHarness;
@@ -32,7 +32,7 @@
                 }
             }
         }
-        assert.deepEqual({ tokens, text, ended }, referenceAnswer({ modelLayers, prompt, maximumTokens: 40 }));
+        assert.deepEqual({ tokens, text, ended }, computeReferenceAnswer({ modelLayers, prompt, maximumTokens: 40 }));
     }
 
     for (const bounds of [[0, 12], [0, 5, 12], [0, 4, 5, 12]]) {
@@ -45,7 +45,7 @@
     it("ends some answers before the maximum number of tokens, but not all", () => {
         const answers = Array.from(
             { length: 50 },
-            (_, index) => referenceAnswer({ modelLayers, prompt: `prompt ${index}`, maximumTokens: 200 }),
+            (_, index) => computeReferenceAnswer({ modelLayers, prompt: `prompt ${index}`, maximumTokens: 200 }),
         );
         assert.ok(answers.some(answer => answer.ended) && answers.some(answer => !answer.ended));
     });
--- a/tests/system/askChat.ts
+++ b/tests/system/askChat.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import type { DeployedNode, LocalDeployment } from "../../scripts/deployment/localDeployment.ts";
 import { type ChatOutcome, sendChat } from "../../scripts/deployment/sendChat.ts";
-import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../standins/engine/referenceModel.ts";
 
 /** Options of {@link askChat}. */
 interface TestChat {
@@ -35,7 +35,7 @@
         },
     });
     const { modelLayers } = deployment;
-    const expected = referenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens });
+    const expected = computeReferenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens });
     assert.equal(answer.outcome, "finished", answer.errorMessage);
     assert.equal(answer.text, expected.text);
     assert.ok(
--- a/tests/system/orders.test.ts
+++ b/tests/system/orders.test.ts
@@ -2,7 +2,7 @@
 import { after, before, describe, it } from "node:test";
 import { LocalDeployment } from "../../scripts/deployment/localDeployment.ts";
 import { sendChat } from "../../scripts/deployment/sendChat.ts";
-import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../standins/engine/referenceModel.ts";
 import { testEngines } from "./testEngines.ts";
 import { waitFor } from "./waitFor.ts";
 
@@ -32,7 +32,7 @@
     }
 
     it("restore a layer range after the only engine that holds it is killed", async () => {
-        const expected = referenceAnswer({
+        const expected = computeReferenceAnswer({
             modelLayers: deployment.modelLayers,
             prompt: `user: ${prompt}`,
             maximumTokens,
