--- a/bench/capacity/measureDataPath.ts
+++ b/bench/capacity/measureDataPath.ts
@@ -129,7 +129,7 @@
                 maximumTokens,
                 isStreamed: true,
             });
-            if (!answer.isWhole) {
+            if (!answer.isComplete) {
                 throw new Error(`A response was incomplete: ${answer.status} ${answer.errorCode}.`);
             }
             tokens += answer.text.trim().split(" ").length;
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -77,7 +77,7 @@
         maximumTokens,
         isStreamed: true,
     });
-    if (!answer.isWhole) {
+    if (!answer.isComplete) {
         throw new Error(`A response was incomplete: ${answer.status} ${answer.errorCode}.`);
     }
     return answer.text.trim().split(" ").length;
--- a/bench/recovery/measureNodeDeath.ts
+++ b/bench/recovery/measureNodeDeath.ts
@@ -51,7 +51,7 @@
         const prompt = `Explain receipt ${seed} ${index} to the household in plain words please`;
         const startedAt = performance.now();
         const first = await sendPrompt(deployment, addresses[index % nodes]!, prompt);
-        if (first?.isWhole === true) {
+        if (first?.isComplete === true) {
             figures.undisturbedAnswers.push(performance.now() - startedAt);
             figures.wrongAnswers += isCorrect(deployment, prompt, first) ? 0 : 1;
             return;
@@ -69,7 +69,7 @@
     diedAt = performance.now();
     killedNode.process.signal("SIGKILL");
     await callers;
-    await deployment.forgetNode(killedNode);
+    await deployment.removeNode(killedNode);
     await deployment.startNode();
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-function isCorrect(deployment: LocalDeployment, prompt: string, { isWhole, text }: ChatOutcome): boolean {
+function isCorrect(deployment: LocalDeployment, prompt: string, { isComplete: isWhole, text }: ChatOutcome): boolean {
     const { modelLayers } = deployment;
     return isWhole && text === computeReferenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
 }
--- a/scripts/deployment/localDeployment.ts
+++ b/scripts/deployment/localDeployment.ts
@@ -205,7 +205,7 @@
     }
 
     /** Removes a terminated node from the deployment and from the platform's list of VMs. */
-    async forgetNode(node: DeployedNode): Promise<void> {
+    async removeNode(node: DeployedNode): Promise<void> {
         const index = this.nodes.indexOf(node);
         if (index >= 0) {
             this.nodes.splice(index, 1);
--- a/scripts/deployment/sendChat.ts
+++ b/scripts/deployment/sendChat.ts
@@ -16,7 +16,7 @@
     /** Delay after each chunk of a streamed response, to simulate a slow reader, in milliseconds. */
     readDelayMilliseconds?: number;
     /** Called after each event of a stream, with the response up to then. */
-    onPiece?(soFar: ChatOutcome): void;
+    onProgress?(soFar: ChatOutcome): void;
 }
 
 /** The response to a chat request as its caller saw it. */
@@ -25,7 +25,7 @@
     text: string;
     chain: string;
     /** Whether the response is complete. */
-    isWhole: boolean;
+    isComplete: boolean;
     /** Error code; empty if there is none. */
     errorCode: string;
     /** `finished`, `cut`, or the outcome that the error states, such as `notRun`. */
@@ -76,7 +76,7 @@
     outcome.firstTokenMilliseconds = performance.now() - startedAt;
     if (body !== undefined) {
         outcome.text = body.choices?.[0]?.message.content ?? "";
-        outcome.isWhole = body.choices !== undefined;
+        outcome.isComplete = body.choices !== undefined;
         setError(outcome, body.error ?? { code: "", outcome: "finished", message: "" });
     }
     return outcome;
@@ -106,7 +106,7 @@
         status,
         text: "",
         chain: String(headers["x-foxlead-chain"] ?? ""),
-        isWhole: false,
+        isComplete: false,
         errorCode: "",
         outcome: "cut",
         errorMessage: "",
@@ -140,7 +140,7 @@
 /** Updates the outcome with an event of the stream, and returns the text of the event, if any. */
 function applyEvent(data: string, outcome: ChatOutcome): string | undefined {
     if (data === "[DONE]") {
-        outcome.isWhole = true;
+        outcome.isComplete = true;
         outcome.outcome = "finished";
         return undefined;
     }
@@ -155,7 +155,7 @@
     body: AsyncIterable<Buffer>,
     startedAt: number,
     outcome: ChatOutcome,
-    { readDelayMilliseconds = 0, onPiece }: ChatOptions,
+    { readDelayMilliseconds = 0, onProgress }: ChatOptions,
 ): Promise<void> {
     let lastEventAt = startedAt;
     let events = 0;
@@ -175,7 +175,7 @@
             }
             events += 1;
             lastEventAt = now;
-            onPiece?.(outcome);
+            onProgress?.(outcome);
         },
     });
     const decoder = new TextDecoder();
--- a/scripts/soak/faultKind.ts
+++ b/scripts/soak/faultKind.ts
@@ -3,9 +3,9 @@
     /** Name of the process, or `platform`. */
     target: string;
     /** Injects the fault. */
-    show(): Promise<void> | void;
+    inject(): Promise<void> | void;
     /** Reverts the fault; resolves once the target is restored. */
-    undo(): Promise<void> | void;
+    revert(): Promise<void> | void;
 }
 
 /** A kind of fault that acts on a context. */
@@ -13,7 +13,7 @@
     /** Relative probability of being chosen. */
     weight: number;
     /** Minimum and maximum duration of the fault, in milliseconds. */
-    holdMilliseconds: readonly [number, number];
+    durationMilliseconds: readonly [number, number];
     /** Chooses a target; undefined if none is available. */
     prepare(context: Context): PreparedFault | undefined;
 }
--- a/scripts/soak/faultLoop.ts
+++ b/scripts/soak/faultLoop.ts
@@ -31,7 +31,7 @@
         this.kinds = repeatByWeight(options.allKinds, options.kinds ?? Object.keys(options.allKinds));
     }
 
-    /** Creates a loop that is idle until {@link FaultLoop.runBeside} is called. */
+    /** Creates a loop that is idle until {@link FaultLoop.runWithLoad} is called. */
     static create<Context extends { random: SeededRandom; timeline: FaultTimeline; }>(
         options: FaultLoopOptions<Context>,
     ): FaultLoop<Context> {
@@ -57,7 +57,7 @@
      * @param load - The load.
      * @param milliseconds - Time after which the load is stopped.
      */
-    async runBeside(load: { run(): Promise<void>; stop(): void; }, milliseconds: number): Promise<void> {
+    async runWithLoad(load: { run(): Promise<void>; stop(): void; }, milliseconds: number): Promise<void> {
         const timer = setTimeout(() => load.stop(), milliseconds);
         const running = load.run().finally(() => {
             this.isStopped = true;
@@ -70,8 +70,8 @@
         const { context, allKinds, print } = this.options;
         const { random, timeline } = context;
         const kind = random.choose(this.kinds)!;
-        const { holdMilliseconds, prepare } = allKinds[kind]!;
-        const durationMilliseconds = random.chooseInteger(...holdMilliseconds);
+        const { durationMilliseconds: durationRange, prepare } = allKinds[kind]!;
+        const durationMilliseconds = random.chooseInteger(...durationRange);
         this.count += 1;
         await sleep(delayMilliseconds);
         const fault = prepare(context);
@@ -80,9 +80,9 @@
         }
         const entry = timeline.start(kind, fault.target);
         print(`${kind} at ${fault.target} for ${durationMilliseconds} ms`);
-        await fault.show();
+        await fault.inject();
         await sleep(durationMilliseconds);
-        await fault.undo();
+        await fault.revert();
         timeline.end(entry);
     }
 }
--- a/scripts/soak/faultTimeline.ts
+++ b/scripts/soak/faultTimeline.ts
@@ -1,7 +1,7 @@
 import { countNames } from "./countNames.ts";
 
 /** A fault that was injected, and when. */
-export interface ShownFault {
+export interface InjectedFault {
     kind: string;
     /** Name of the process, or `platform`. */
     target: string;
@@ -12,7 +12,7 @@
 
 /** The history of the injected faults. */
 export class FaultTimeline {
-    private readonly faults: ShownFault[] = [];
+    private readonly faults: InjectedFault[] = [];
 
     private constructor() {}
 
@@ -22,19 +22,19 @@
     }
 
     /** Records the start of a fault. Call {@link FaultTimeline.end} once it is reverted. */
-    start(kind: string, target: string): ShownFault {
-        const fault: ShownFault = { kind, target, from: Date.now(), to: Infinity };
+    start(kind: string, target: string): InjectedFault {
+        const fault: InjectedFault = { kind, target, from: Date.now(), to: Infinity };
         this.faults.push(fault);
         return fault;
     }
 
     /** Records the end of a fault. */
-    end(fault: ShownFault): void {
+    end(fault: InjectedFault): void {
         fault.to = Date.now();
     }
 
     /** Gets the faults that overlap a time span. */
-    getDuring(from: number, to: number): ShownFault[] {
+    getDuring(from: number, to: number): InjectedFault[] {
         return this.faults.filter(fault => fault.from <= to && fault.to >= from);
     }
 
--- a/scripts/soak/faults/createStandinFaultKinds.ts
+++ b/scripts/soak/faults/createStandinFaultKinds.ts
@@ -11,21 +11,21 @@
 /** Creates kinds of faults for one type of stand-in. */
 interface StandinFaultKinds {
     /** A fault that functions inject and revert. */
-    ofActs(
+    actionFault(
         weight: number,
-        holdMilliseconds: DurationRange,
-        show: FaultAction,
-        undo: FaultAction,
+        durationMilliseconds: DurationRange,
+        inject: FaultAction,
+        revert: FaultAction,
     ): FaultKind<FaultContext>;
     /** A fault that the stand-in simulates itself, controlled by its fault settings. */
-    ofSettings(
+    settingsFault(
         weight: number,
-        holdMilliseconds: DurationRange,
+        durationMilliseconds: DurationRange,
         faults: object,
         undone: object,
     ): FaultKind<FaultContext>;
     /** A fault that suspends the process with SIGSTOP. */
-    ofFreeze(weight: number, holdMilliseconds: DurationRange): FaultKind<FaultContext>;
+    freezeFault(weight: number, durationMilliseconds: DurationRange): FaultKind<FaultContext>;
 }
 
 /**
@@ -35,24 +35,24 @@
 export function createStandinFaultKinds(
     take: (context: FaultContext) => DeployedStandin | undefined,
 ): StandinFaultKinds {
-    const ofActs: StandinFaultKinds["ofActs"] = (weight, holdMilliseconds, show, undo) =>
+    const actionFault: StandinFaultKinds["actionFault"] = (weight, durationMilliseconds, inject, revert) =>
         createFaultKind({
             weight,
-            holdMilliseconds,
+            durationMilliseconds,
             take,
             getName: ({ name }) => name,
-            show,
-            undo,
+            inject,
+            revert,
             release: ({ taken }, { name }) => taken.delete(name),
         });
     const createSetting = (faults: object): FaultAction => ({ deployment }, standin) =>
         deployment.setFaults(standin, faults);
     const createSignal = (signal: NodeJS.Signals): FaultAction => (_context, { process }) => process.signal(signal);
     return {
-        ofActs,
-        ofSettings: (weight, durationMilliseconds, faults, undone) =>
-            ofActs(weight, durationMilliseconds, createSetting(faults), createSetting(undone)),
-        ofFreeze: (weight, durationMilliseconds) =>
-            ofActs(weight, durationMilliseconds, createSignal("SIGSTOP"), createSignal("SIGCONT")),
+        actionFault,
+        settingsFault: (weight, durationMilliseconds, faults, undone) =>
+            actionFault(weight, durationMilliseconds, createSetting(faults), createSetting(undone)),
+        freezeFault: (weight, durationMilliseconds) =>
+            actionFault(weight, durationMilliseconds, createSignal("SIGSTOP"), createSignal("SIGCONT")),
     };
 }
--- a/scripts/soak/faults/leavingFaultKinds.ts
+++ b/scripts/soak/faults/leavingFaultKinds.ts
@@ -11,7 +11,7 @@
 
 /** Time after the leaving signal from which no pass may be refused, in milliseconds. */
 const settleMilliseconds = 2_600;
-const holdMilliseconds = [3_500, 6_000] as const;
+const durationMilliseconds = [3_500, 6_000] as const;
 
 /** Engines that leave, signalled by the platform's list of VMs or by the engine itself. */
 export const leavingFaultKinds: Readonly<Record<string, FaultKind<FaultContext>>> = {
@@ -26,19 +26,19 @@
 function createKind(setLeaving: SetLeaving): FaultKind<FaultContext> {
     return {
         weight: 4,
-        holdMilliseconds,
+        durationMilliseconds,
         prepare: context => {
             const engine = takeEngine(context);
             let from = Infinity;
             let refusals = Promise.resolve(0);
             return engine && {
                 target: engine.name,
-                show: async () => {
+                inject: async () => {
                     await setLeaving(context, engine, true);
                     from = Date.now();
                     refusals = sleep(settleMilliseconds).then(() => countLeavingRefusals(engine.address));
                 },
-                undo: async () => {
+                revert: async () => {
                     await check(context, engine, from, await refusals);
                     await setLeaving(context, engine, false);
                     context.taken.delete(engine.name);
--- a/scripts/soak/faults/nodeFaultKinds.ts
+++ b/scripts/soak/faults/nodeFaultKinds.ts
@@ -28,17 +28,17 @@
 
 function createKind(
     weight: number,
-    holdMilliseconds: readonly [number, number],
-    show: FaultAction,
-    undo: FaultAction,
+    durationMilliseconds: readonly [number, number],
+    inject: FaultAction,
+    revert: FaultAction,
 ): FaultKind<FaultContext> {
     return createFaultKind({
         weight,
-        holdMilliseconds,
+        durationMilliseconds,
         take: ({ fleet, random }) => fleet.take(random),
         getName: ({ node }) => node.name,
-        show,
-        undo,
+        inject,
+        revert,
         // A terminated node is not released because another one has replaced it; thaw releases a frozen node.
         release: () => undefined,
     });
--- a/scripts/soak/faults/platformFaultKinds.ts
+++ b/scripts/soak/faults/platformFaultKinds.ts
@@ -15,15 +15,15 @@
     platformSilentConnections: createKind(3, [500, 1_500], { silenceOpenConnections: true }, {}),
     configurationRace: {
         weight: 5,
-        holdMilliseconds: [0, 500],
+        durationMilliseconds: [0, 500],
         prepare: context => {
             let racing = Promise.resolve();
             return {
                 target: name,
-                show: () => {
+                inject: () => {
                     racing = raceOperators(context.deployment, context.watch, context.random);
                 },
-                undo: () => racing,
+                revert: () => racing,
             };
         },
     },
@@ -31,17 +31,17 @@
 
 function createKind(
     weight: number,
-    holdMilliseconds: readonly [number, number],
+    durationMilliseconds: readonly [number, number],
     faults: object,
     undone: object,
 ): FaultKind<FaultContext> {
     return createFaultKind({
         weight,
-        holdMilliseconds,
+        durationMilliseconds,
         take: ({ deployment, taken }) => takePlatform(deployment, taken),
         getName: () => name,
-        show: ({ deployment }, platform) => deployment.setFaults(platform, faults),
-        undo: ({ deployment }, platform) => deployment.setFaults(platform, undone),
+        inject: ({ deployment }, platform) => deployment.setFaults(platform, faults),
+        revert: ({ deployment }, platform) => deployment.setFaults(platform, undone),
         release: ({ taken }) => taken.delete(name),
     });
 }
--- a/scripts/soak/nodeFleet.ts
+++ b/scripts/soak/nodeFleet.ts
@@ -110,7 +110,7 @@
     private async forget(fleetNode: FleetNode): Promise<void> {
         fleetNode.hasEnded = true;
         fleetNode.isInRotation = false;
-        await this.deployment.forgetNode(fleetNode.node);
+        await this.deployment.removeNode(fleetNode.node);
     }
 
     private add(node: DeployedNode, isInRotation: boolean): void {
--- a/scripts/soak/nodeWatch.ts
+++ b/scripts/soak/nodeWatch.ts
@@ -53,7 +53,7 @@
     }
 
     /** Records a version that was just accepted, and schedules the check that it is in force. */
-    noteAccepted(version: number): void {
+    addAcceptedVersion(version: number): void {
         const at = Date.now();
         if (this.accepted.some(other => other.version === version)) {
             const message = `Version ${version} was reported as accepted for two edits.`;
--- a/scripts/soak/operators.ts
+++ b/scripts/soak/operators.ts
@@ -27,7 +27,7 @@
     for (const line of lines) {
         const [, version] = /Version (\d+) was accepted/.exec(line) ?? [];
         if (version !== undefined) {
-            watch.noteAccepted(Number(version));
+            watch.addAcceptedVersion(Number(version));
         }
     }
 }
--- a/scripts/soak/plannedCallers.ts
+++ b/scripts/soak/plannedCallers.ts
@@ -49,7 +49,7 @@
     /** Retries with the same idempotency key through another node until the outcome is clear. */
     private async sendWithKey(plan: RequestPlan): Promise<void> {
         const first = this.sendAttempt(plan, true);
-        const duplicate = plan.isDoubled ? this.sendAttempt(plan, false) : undefined;
+        const duplicate = plan.isSentTwice ? this.sendAttempt(plan, false) : undefined;
         let last = await first;
         await duplicate;
         for (let attempts = 1; attempts < maximumAttempts; attempts += 1) {
@@ -63,10 +63,10 @@
         }
     }
 
-    private async sendAttempt(plan: RequestPlan, mayLeave: boolean, except?: string): Promise<SendRecord> {
+    private async sendAttempt(plan: RequestPlan, mayDisconnect: boolean, except?: string): Promise<SendRecord> {
         const { deployment, fleet, nodeRandom, onSent } = this.options;
         const { name, callerAddress } = fleet.choose(nodeRandom, except);
-        const record = await sendPlanned({ deployment, plan, node: name, address: callerAddress, mayLeave });
+        const record = await sendPlanned({ deployment, plan, node: name, address: callerAddress, mayDisconnect });
         onSent(record);
         return record;
     }
--- a/scripts/soak/requestPlan.ts
+++ b/scripts/soak/requestPlan.ts
@@ -12,11 +12,11 @@
     /** Undefined for an idempotent request, which may run more than once. */
     idempotencyKey: string | undefined;
     /** Whether the caller sends the request twice concurrently. */
-    isDoubled: boolean;
+    isSentTwice: boolean;
     /** Delay before the caller sends the request again through another node, in milliseconds; 0 if it does not. */
     repeatAfterMilliseconds: number;
     /** Time after which the caller disconnects, in milliseconds; 0 if it does not. */
-    leaveAfterMilliseconds: number;
+    disconnectAfterMilliseconds: number;
     /** Delay after each chunk that the caller reads, in milliseconds. */
     readDelayMilliseconds: number;
 }
@@ -39,11 +39,11 @@
     const service = chooseService(random);
     const kind = service === "assistant" || service === "letters" ? "chat" : "document";
     const isKeyed = service === "letters" || service === "receipts";
-    const isDoubled = random.isHit(sentTwiceShare);
+    const isSentTwice = random.isHit(sentTwiceShare);
     const isRepeated = random.isHit(repeatShare);
     const repeatAfterMilliseconds = random.chooseInteger(50, 3_000);
-    const isLeaving = random.isHit(disconnectShare);
-    const leaveAfterMilliseconds = random.chooseInteger(1, 150);
+    const disconnects = random.isHit(disconnectShare);
+    const disconnectAfterMilliseconds = random.chooseInteger(1, 150);
     const isSlow = random.isHit(slowReaderShare);
     return {
         number,
@@ -53,9 +53,9 @@
         prompt: createPrompt(random, number),
         maximumTokens: random.chooseInteger(8, 40),
         idempotencyKey: isKeyed ? createUuid() : undefined,
-        isDoubled: isKeyed && isDoubled,
+        isSentTwice: isKeyed && isSentTwice,
         repeatAfterMilliseconds: isKeyed && isRepeated ? repeatAfterMilliseconds : 0,
-        leaveAfterMilliseconds: isLeaving ? leaveAfterMilliseconds : 0,
+        disconnectAfterMilliseconds: disconnects ? disconnectAfterMilliseconds : 0,
         readDelayMilliseconds: isSlow ? 20 : 0,
     };
 }
--- a/scripts/soak/router/callChecks.ts
+++ b/scripts/soak/router/callChecks.ts
@@ -4,7 +4,7 @@
 import { callKinds } from "./callKind.ts";
 import type { CallRecord } from "./callRecord.ts";
 import { endpointLimitKind } from "./endpointLimitKind.ts";
-import { eventsOfStream } from "./eventsOfStream.ts";
+import { eventsPerStream } from "./eventsPerStream.ts";
 import { harmfulBody } from "./harmfulBody.ts";
 import type { RouterDeployment } from "./routerDeployment.ts";
 
@@ -135,7 +135,7 @@
         }
         const ids = [...record.text.matchAll(/^id: (\d+)$/gm)].map(match => Number(match[1]));
         const isInOrder = ids.every((id, index) => id === index + 1);
-        if (!isInOrder || record.isComplete && ids.length !== eventsOfStream) {
+        if (!isInOrder || record.isComplete && ids.length !== eventsPerStream) {
             this.add("events", `Events are missing, repeated or out of order: ${ids.join(" ")}.`, record);
         }
     }
--- a/scripts/soak/router/eventsOfStream.ts
+++ b/scripts/soak/router/eventsPerStream.ts
@@ -1,2 +1,2 @@
 /** Number of events in each stream of the soak test's endpoints. */
-export const eventsOfStream = 20;
+export const eventsPerStream = 20;
--- a/scripts/soak/router/routerCallers.ts
+++ b/scripts/soak/router/routerCallers.ts
@@ -81,7 +81,7 @@
     }
 
     /** Sends a request whose caller never disconnects early. */
-    async sendPatiently(id: string): Promise<void> {
+    async sendWithoutDisconnect(id: string): Promise<void> {
         await this.call(this.createCall(id), false);
     }
 
--- a/scripts/soak/router/routerFaultKinds.ts
+++ b/scripts/soak/router/routerFaultKinds.ts
@@ -84,13 +84,13 @@
 ) {
     return (
         weight: number,
-        holdMilliseconds: DurationRange,
-        show: FaultAction<Target>,
-        undo: FaultAction<Target>,
+        durationMilliseconds: DurationRange,
+        inject: FaultAction<Target>,
+        revert: FaultAction<Target>,
     ): RouterFaultKind =>
         createFaultKind({
             weight,
-            holdMilliseconds,
+            durationMilliseconds,
             take: ({ deployment, random }) => {
                 const target = random.choose(getAll(deployment).filter(({ isTaken }) => !isTaken));
                 if (target !== undefined) {
@@ -99,8 +99,8 @@
                 return target;
             },
             getName: ({ name }) => name,
-            show,
-            undo,
+            inject,
+            revert,
             release: (_, target) => {
                 target.isTaken = false;
             },
@@ -139,27 +139,30 @@
     process.signal("SIGCONT");
 }
 
-function storeFault(weight: number, holdMilliseconds: DurationRange, faults: KeyValueFaults): RouterFaultKind {
+function storeFault(weight: number, durationMilliseconds: DurationRange, faults: KeyValueFaults): RouterFaultKind {
     return createFaultKind({
         weight,
-        holdMilliseconds,
+        durationMilliseconds,
         take: ({ deployment: { store } }) => Object.keys(store.faults).length > 0 ? undefined : store,
         getName: () => "store",
-        show: (_, store) => {
+        inject: (_, store) => {
             store.faults = faults;
         },
-        undo: (_, store) => {
+        revert: (_, store) => {
             store.faults = {};
         },
         release: () => undefined,
     });
 }
 
-function deploymentFault(weight: number, show: (context: RouterSoakContext) => Promise<void> | void): RouterFaultKind {
+function deploymentFault(
+    weight: number,
+    inject: (context: RouterSoakContext) => Promise<void> | void,
+): RouterFaultKind {
     return {
         weight,
-        holdMilliseconds: minimalDuration,
-        prepare: context => ({ target: "store", show: () => show(context), undo: () => undefined }),
+        durationMilliseconds: minimalDuration,
+        prepare: context => ({ target: "store", inject: () => inject(context), revert: () => undefined }),
     };
 }
 
--- a/scripts/soak/router/runRouterSoak.ts
+++ b/scripts/soak/router/runRouterSoak.ts
@@ -69,13 +69,13 @@
         ...options,
     });
     const load = SteadyLoad.create({ ...options, random, send: number => callers.send(`call-${number}`) });
-    await faults.runBeside(load, options.milliseconds);
+    await faults.runWithLoad(load, options.milliseconds);
     await sleep(recoveryMilliseconds);
     const recoveryLoad = SteadyLoad.create({
         ...options,
         random,
         maximumRequests: recoveryRequests,
-        send: number => callers.sendPatiently(`${recoveryIdPrefix}-${number}`),
+        send: number => callers.sendWithoutDisconnect(`${recoveryIdPrefix}-${number}`),
     });
     await recoveryLoad.run();
     checkRecovery(parts);
--- a/scripts/soak/router/soakEndpoint.ts
+++ b/scripts/soak/router/soakEndpoint.ts
@@ -5,7 +5,7 @@
 import { EndpointStandin } from "../../../standins/router/endpointStandin.ts";
 import type { KeyValueStandin } from "../../../standins/router/keyValueStandin.ts";
 import type { RunRecord } from "../../../standins/router/runRecord.ts";
-import { eventsOfStream } from "./eventsOfStream.ts";
+import { eventsPerStream } from "./eventsPerStream.ts";
 import { harmfulBody } from "./harmfulBody.ts";
 
 /** Options of {@link SoakEndpoint}. */
@@ -77,7 +77,7 @@
         const id = `${this.name}-${this.incarnations.length}`;
         const standin = await EndpointStandin.create({
             id,
-            events: eventsOfStream,
+            events: eventsPerStream,
             eventMilliseconds,
             onLayersChanged: () => this.register(),
             onStopped: () => void this.restart(),
--- a/scripts/soak/runSoak.ts
+++ b/scripts/soak/runSoak.ts
@@ -93,7 +93,7 @@
         ...options,
     });
     const startedAt = Date.now();
-    await faults.runBeside(load, options.milliseconds);
+    await faults.runWithLoad(load, options.milliseconds);
     const seconds = (Date.now() - startedAt) / millisecondsPerSecond;
     await sleep(recoveryMilliseconds);
     watch.checkEnd();
--- a/scripts/soak/sendPlanned.ts
+++ b/scripts/soak/sendPlanned.ts
@@ -13,7 +13,7 @@
     /** host:port of the node's caller listener. */
     address: string;
     /** Whether the caller disconnects early if planned; false for retries. */
-    mayLeave: boolean;
+    mayDisconnect: boolean;
 }
 
 /** The part of the record that the response determines. */
@@ -40,8 +40,8 @@
     const { plan, node } = attempt;
     const sentAt = Date.now();
     const controller = new AbortController();
-    const disconnects = attempt.mayLeave && plan.leaveAfterMilliseconds > 0;
-    const timer = disconnects ? setTimeout(() => controller.abort(), plan.leaveAfterMilliseconds) : undefined;
+    const disconnects = attempt.mayDisconnect && plan.disconnectAfterMilliseconds > 0;
+    const timer = disconnects ? setTimeout(() => controller.abort(), plan.disconnectAfterMilliseconds) : undefined;
     const send = plan.kind === "chat" ? sendPlannedChat : sendPlannedDocument;
     let result: AttemptResult;
     try {
--- a/tests/system/askChat.ts
+++ b/tests/system/askChat.ts
@@ -27,7 +27,7 @@
         prompt,
         maximumTokens,
         isStreamed: true,
-        onPiece: soFar => {
+        onProgress: soFar => {
             if (!isPastMiddle && soFar.text.length > middleCharacters) {
                 isPastMiddle = true;
                 chat.onMiddle?.(soFar);
--- a/tests/system/claims.test.ts
+++ b/tests/system/claims.test.ts
@@ -68,7 +68,7 @@
     async function kill(node: DeployedNode): Promise<void> {
         node.process.signal("SIGKILL");
         await node.process.exited;
-        await deployment.forgetNode(node);
+        await deployment.removeNode(node);
     }
 
     async function countExecuted(callers: readonly DocumentCaller[]): Promise<number> {
--- a/tests/system/nodes.test.ts
+++ b/tests/system/nodes.test.ts
@@ -77,7 +77,7 @@
         await waitFor("the call is executed", async () => await readExecutions(deployment, caller.key) === 1);
         first!.process.signal("SIGKILL");
         assert.equal((await answer).outcome, "cut");
-        await deployment.forgetNode(first!);
+        await deployment.removeNode(first!);
         for (const node of [second!, third!]) {
             const repeat = await caller.send(node);
             assert.equal(repeat.outcome, "outcomeUnknown", repeat.errorMessage);
