--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -16,7 +16,7 @@
 import { measureObservation } from "./capacity/measureObservation.ts";
 import { measureOrders } from "./capacity/measureOrders.ts";
 import { measurePeers } from "./capacity/measurePeers.ts";
-import { measureReportSpread } from "./capacity/measureReportSpread.ts";
+import { measureReportPropagation } from "./capacity/measureReportPropagation.ts";
 import { measureStatus } from "./capacity/measureStatus.ts";
 import { measureStore } from "./capacity/measureStore.ts";
 import { measureTakeover } from "./capacity/measureTakeover.ts";
@@ -41,7 +41,7 @@
     store: async () => void measurements.slopes.push(...await measureStore()),
     observation: async () => void measurements.slopes.push(...await measureObservation()),
     reports: async () => {
-        measurements.reports = await Promise.resolve(measureReportSpread());
+        measurements.reports = await Promise.resolve(measureReportPropagation());
     },
     orders: async () => void measurements.slopes.push(...await measureOrders()),
     status: async () => void measurements.slopes.push(...await measureStatus()),
--- a/bench/capacity/computeClaimTotals.ts
+++ b/bench/capacity/computeClaimTotals.ts
@@ -1,5 +1,5 @@
 import { budgets } from "./budgets.ts";
-import { letterSize } from "./letterSize.ts";
+import { designSize } from "./designSize.ts";
 import type { SlopeTable } from "./slopeTable.ts";
 import type { Total } from "./total.ts";
 
@@ -18,7 +18,7 @@
 /** Computes the totals of the owner of one shard in the worst case, in which every request claims its key. */
 export function computeClaimTotals(slopes: SlopeTable): Total[] {
     return settings.flatMap(({ shards, appendIntervalMilliseconds }) => {
-        const claimsPerSecond = letterSize.requestsPerSecond / shards;
+        const claimsPerSecond = designSize.requestsPerSecond / shards;
         const appendsPerSecond = 1_000 / appendIntervalMilliseconds;
         const role = `claim owner, 1 of ${shards} shards, ${appendIntervalMilliseconds} ms`;
         const processorPerAppend = slopes.getValue("claims.processor", 0) / measuredAppendsPerSecond;
@@ -28,10 +28,16 @@
         const ringThousandClaims = claimsPerSecond * ringSeconds / 1_000;
         const memory = slopes.getValue("takeover.heap", claimsPerSecond * retentionSeconds / 1_000) * 1_024 / 1e6;
         const writes = shards * slopes.getValue("claims.writesByInterval", appendsPerSecond);
-        const processorBudget = budgets.controlMilliseconds;
+        const processorBudget = budgets.controlMillisecondsPerSecond;
         const callKilobytes = claimsPerSecond * slopes.getSlope("peers.claimBytes") / 1_000;
         return [
-            { role, quantity: "store writes, all shards", value: writes, unit: "1/s", budget: budgets.storeWrites },
+            {
+                role,
+                quantity: "store writes, all shards",
+                value: writes,
+                unit: "1/s",
+                budget: budgets.storeWritesPerSecond,
+            },
             { role, quantity: "processor, appends", value: appendProcessor, unit: "ms/s", budget: processorBudget },
             { role, quantity: "processor, claim calls", value: callProcessor, unit: "ms/s", budget: processorBudget },
             {
@@ -39,9 +45,9 @@
                 quantity: "bytes, claim calls",
                 value: callKilobytes,
                 unit: "KB/s",
-                budget: budgets.controlKilobytes,
+                budget: budgets.controlKilobytesPerSecond,
             },
-            { role, quantity: "memory", value: memory, unit: "MB", budget: budgets.controlMegabytes },
+            { role, quantity: "memory", value: memory, unit: "MB", budget: budgets.memoryMegabytes },
             { role, quantity: "takeover", value: slopes.getValue("takeover.wall", ringThousandClaims), unit: "ms" },
             {
                 role,
--- a/bench/capacity/computeNodeTotals.ts
+++ b/bench/capacity/computeNodeTotals.ts
@@ -1,11 +1,11 @@
 import { maximumFullRateNodes } from "../../src/process/membership/maximumFullRateNodes.ts";
 import { budgets } from "./budgets.ts";
+import { designSize } from "./designSize.ts";
 import type { IdleNode } from "./idleNode.ts";
-import { letterSize } from "./letterSize.ts";
 import type { SlopeTable } from "./slopeTable.ts";
 import type { Total } from "./total.ts";
 
-const { nodes, runners, models, customers, configurationChangesPerDay } = letterSize;
+const { nodes, runners, models, customers, configurationChangesPerDay } = designSize;
 const vms = nodes + runners;
 const secondsPerDay = 86_400;
 // These constants repeat values of membershipService.ts, foxleadNode.ts, endpointService.ts and the membership folder in
@@ -66,8 +66,8 @@
     const role = "node, all control";
     return [
         ...totals,
-        { role, quantity: "processor", value: processor, unit: "ms/s", budget: budgets.controlMilliseconds },
-        { role, quantity: "bytes", value: kilobytes, unit: "KB/s", budget: budgets.controlKilobytes },
+        { role, quantity: "processor", value: processor, unit: "ms/s", budget: budgets.controlMillisecondsPerSecond },
+        { role, quantity: "bytes", value: kilobytes, unit: "KB/s", budget: budgets.controlKilobytesPerSecond },
     ];
 }
 
--- a/bench/capacity/computePathTotals.ts
+++ b/bench/capacity/computePathTotals.ts
@@ -1,10 +1,10 @@
 import { maximumFullRateNodes } from "../../src/process/membership/maximumFullRateNodes.ts";
-import { letterSize } from "./letterSize.ts";
+import { designSize } from "./designSize.ts";
 import type { SlopeTable } from "./slopeTable.ts";
 import type { Total } from "./total.ts";
 
 const { nodes, runners, dataCentres, requestsPerSecond, tokensPerSecond, stages, betweenTokensMilliseconds } =
-    letterSize;
+    designSize;
 const observeRoundsPerSecond = 2;
 const observersPerEndpoint = 3;
 const coreMillisecondsPerSecond = 1_000;
--- a/bench/capacity/computeStoreTotals.ts
+++ b/bench/capacity/computeStoreTotals.ts
@@ -1,9 +1,9 @@
 import { budgets } from "./budgets.ts";
-import { letterSize } from "./letterSize.ts";
+import { designSize } from "./designSize.ts";
 import type { SlopeTable } from "./slopeTable.ts";
 import type { Total } from "./total.ts";
 
-const { nodes, runners, customers } = letterSize;
+const { nodes, runners, customers } = designSize;
 const shards = 4;
 
 /** Computes the load that all nodes together put on the platform's service. */
@@ -20,16 +20,22 @@
     const writes = slopes.getValue("claims.writesByShards", shards) + orderCalls;
     const watches = slopes.getValue("store.watches", nodes);
     return [
-        { role, quantity: "writes, claims and orders", value: writes, unit: "1/s", budget: budgets.storeWrites },
+        {
+            role,
+            quantity: "writes, claims and orders",
+            value: writes,
+            unit: "1/s",
+            budget: budgets.storeWritesPerSecond,
+        },
         {
             role,
             quantity: "backstop reads and watches",
             value: reads + watches,
             unit: "1/s",
-            budget: budgets.storeReads,
+            budget: budgets.storeReadsPerSecond,
         },
         { role, quantity: "bytes of the backstop reads", value: readBytes / 1e6, unit: "MB/s" },
-        { role, quantity: "readings of the VM list", value: nodes, unit: "1/s", budget: budgets.storeReads },
+        { role, quantity: "readings of the VM list", value: nodes, unit: "1/s", budget: budgets.storeReadsPerSecond },
         { role, quantity: "bytes of the VM list", value: listBytes / 1e6, unit: "MB/s" },
         { role, quantity: "text, one entry a line", value: textKibibytes * 1.024, unit: "KB", budget: 1_000 },
         { role, quantity: "stored text, indented by 4", value: storedBytes / 1_000, unit: "KB", budget: 1_000 },
--- a/bench/capacity/computeTotals.ts
+++ b/bench/capacity/computeTotals.ts
@@ -3,7 +3,7 @@
 import { computeNodeTotals } from "./computeNodeTotals.ts";
 import { computePathTotals } from "./computePathTotals.ts";
 import { computeStoreTotals } from "./computeStoreTotals.ts";
-import { letterSize } from "./letterSize.ts";
+import { designSize } from "./designSize.ts";
 import type { Measurements } from "./measurements.ts";
 import { SlopeTable } from "./slopeTable.ts";
 import type { Total } from "./total.ts";
@@ -25,14 +25,14 @@
 
 /** Computes the resident memory of the built node with a configuration of the design size, plus that of membership. */
 function computeMemory({ idleNodes, peers }: Measurements, slopes: SlopeTable): Total[] {
-    const { nodes, runners } = letterSize;
+    const { nodes, runners } = designSize;
     const [start, large] = [idleNodes?.at(0), idleNodes?.at(-1)];
     // A node has one connection to each peer and one from each. Both ends of a connection were measured together.
     const connections = (nodes - 1) * (peers?.connectionBytes ?? Number.NaN) / 1e6;
     const view = slopes.getValue("peers.heap", nodes) / 1e6;
     const engines = slopes.getValue("observer.heap", runners) / 1e6;
     const role = "node, all control";
-    const budget = budgets.controlMegabytes;
+    const budget = budgets.memoryMegabytes;
     const resident = toMegabytes(large?.residentMebibytes) + connections + view;
     return [
         { role: "peer member", quantity: "memory, connections", value: connections, unit: "MB" },
--- a/bench/capacity/createBenchOwner.ts
+++ b/bench/capacity/createBenchClaimOwner.ts
@@ -5,7 +5,9 @@
  * Creates a claim owner with the default settings that decides claims of {@link createBenchClaim}.
  * @param options - The store, and options that replace the defaults.
  */
-export function createBenchOwner(options: Partial<ClaimOwnerOptions> & Pick<ClaimOwnerOptions, "store">): ClaimOwner {
+export function createBenchClaimOwner(
+    options: Partial<ClaimOwnerOptions> & Pick<ClaimOwnerOptions, "store">,
+): ClaimOwner {
     return ClaimOwner.create({
         windowMilliseconds: 300_000,
         appendIntervalMilliseconds: 20,
--- a/bench/capacity/createObservedService.ts
+++ b/bench/capacity/createBenchEndpointService.ts
@@ -7,7 +7,7 @@
 import { parseConfiguration } from "../../src/version/parseConfiguration.ts";
 import { createMembers } from "./createMembers.ts";
 import { createSizedConfiguration } from "./createSizedConfiguration.ts";
-import { letterSize } from "./letterSize.ts";
+import { designSize } from "./designSize.ts";
 
 /**
  * Creates the endpoint service of a node that isn't a member, so that it observes no engine itself.
@@ -15,8 +15,8 @@
  * @param members - Number of members from which the observers are selected.
  * @returns The service, and a function that runs its next round immediately.
  */
-export async function createObservedService(engines: number, members: number) {
-    const size = { customers: 0, runners: engines, models: letterSize.models };
+export async function createBenchEndpointService(engines: number, members: number) {
+    const size = { customers: 0, runners: engines, models: designSize.models };
     const configuration = parseConfiguration(JSON.stringify(createSizedConfiguration(size))).unwrap();
     let runRound: () => void = () => undefined;
     const clock = {
--- a/bench/capacity/createSizedConfiguration.ts
+++ b/bench/capacity/createSizedConfiguration.ts
@@ -1,9 +1,9 @@
 import { createHash } from "node:crypto";
 import type { EndpointConfiguration } from "../../src/version/configuration.ts";
-import { letterSize } from "./letterSize.ts";
+import { designSize } from "./designSize.ts";
 
 const layers = 32;
-const layersPerStage = layers / letterSize.stages;
+const layersPerStage = layers / designSize.stages;
 const accelerators = ["large", "medium", "small", "old"];
 
 /** Numbers of entries in a configuration. */
@@ -21,7 +21,7 @@
  */
 export function createSizedConfiguration(size: ConfigurationSize): object {
     return {
-        dataCentres: createEntries(letterSize.dataCentres, getDataCentre, index => ({ region: `region-${index % 3}` })),
+        dataCentres: createEntries(designSize.dataCentres, getDataCentre, index => ({ region: `region-${index % 3}` })),
         links: createLinks(),
         models: createEntries(size.models, getModel, () => ({ layers, hiddenBytes: 8_192 })),
         services: createEntries(size.models, index => `assistant-${index}`, index => ({
@@ -34,11 +34,11 @@
 }
 
 function createRunner(index: number, models: number): Partial<EndpointConfiguration> {
-    const start = Math.floor(index / models) % letterSize.stages * layersPerStage;
+    const start = Math.floor(index / models) % designSize.stages * layersPerStage;
     return {
         kind: "engine",
         address: `10.${index % 10}.${Math.floor(index / 200)}.${1 + index % 200}:8000`,
-        dataCentre: getDataCentre(index % letterSize.dataCentres),
+        dataCentre: getDataCentre(index % designSize.dataCentres),
         accelerator: accelerators[index % accelerators.length],
         layers: [{ model: getModel(index % models), start, end: start + layersPerStage }],
         checksFencing: index % 2 === 0,
@@ -54,8 +54,8 @@
 
 function createLinks(): object[] {
     const links: object[] = [];
-    for (let from = 0; from < letterSize.dataCentres; from++) {
-        for (let to = from + 1; to < letterSize.dataCentres; to++) {
+    for (let from = 0; from < designSize.dataCentres; from++) {
+        for (let to = from + 1; to < designSize.dataCentres; to++) {
             const [latencyMilliseconds, megabytesPerSecond] = from % 3 === to % 3 ? [0.5, 1_000] : [25, 10];
             links.push({ from: getDataCentre(from), to: getDataCentre(to), latencyMilliseconds, megabytesPerSecond });
         }
--- a/bench/capacity/letterSize.ts
+++ b/bench/capacity/designSize.ts
@@ -1,5 +1,5 @@
 /** The deployment size that the system is designed for. */
-export const letterSize = {
+export const designSize = {
     nodes: 340,
     /** VMs that run an engine. */
     runners: 1_200,
--- a/bench/capacity/measureChains.ts
+++ b/bench/capacity/measureChains.ts
@@ -4,12 +4,12 @@
 import { measureDecisionCost } from "../policy/decisionCost.ts";
 import { createFleet } from "../policy/fleet.ts";
 import { policies } from "../policy/policies.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { letterSize } from "./letterSize.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 
-const { nodes, models, runners: allRunners } = letterSize;
+const { nodes, models, runners: allRunners } = designSize;
 const role = "chain choice";
 const sizes = [[30, 1], [300, 4], [1_200, 14]] as const;
 const repetitions = 3;
@@ -23,7 +23,7 @@
     const median = [];
     for (const [runners, models] of sizes) {
         const costs: number[] = [];
-        const spent = await measureProcessor(
+        const spent = await measureProcessorTime(
             () => costs.push(measureDecisionCost(policy, runners, models).median),
             repetitions,
         );
@@ -57,7 +57,7 @@
         const nodeDataCentres = Array.from({ length: nodes }, (_, index) => dataCentres[index % dataCentres.length]!);
         const compute = () => chooser.computeFlowBound(nodeDataCentres);
         compute();
-        points.push({ x: count, y: await measureProcessor(compute, repetitions) / 1_000 });
+        points.push({ x: count, y: await measureProcessorTime(compute, repetitions) / 1_000 });
     }
     const description = { id: "chains.bound", role, quantity: "bound of the fleet", unit: "ms" };
     return fitSlope({ ...description, variable: "runner" }, points);
--- a/bench/capacity/measureClaims.ts
+++ b/bench/capacity/measureClaims.ts
@@ -2,9 +2,9 @@
 import { EtcdStore } from "../../src/process/platform/etcdStore.ts";
 import type { PlatformStore } from "../../src/process/platform/platformStore.ts";
 import { createBenchClaim } from "./createBenchClaim.ts";
-import { createBenchOwner } from "./createBenchOwner.ts";
+import { createBenchClaimOwner } from "./createBenchClaimOwner.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 import { startStandin } from "./startStandin.ts";
 
@@ -104,7 +104,7 @@
     const { shards, rate, appendIntervalMilliseconds } = load;
     let writes = 0;
     const countingStore = createCountingStore(store, call => writes += call === "compareAndSwap" ? 1 : 0);
-    const owner = createBenchOwner({ store: countingStore, appendIntervalMilliseconds });
+    const owner = createBenchClaimOwner({ store: countingStore, appendIntervalMilliseconds });
     const firstShard = nextShard;
     nextShard += shards;
     let nextClaim = 0;
@@ -116,7 +116,7 @@
     await Promise.all(sendClaims(shards));
     writes = 0;
     const startedAt = performance.now();
-    const spent = await measureProcessor(async () => {
+    const spent = await measureProcessorTime(async () => {
         const pending: Promise<unknown>[] = [];
         let sent = 0;
         for (let elapsed = 0; elapsed < runMilliseconds; elapsed = performance.now() - startedAt) {
--- a/bench/capacity/measureConfiguration.ts
+++ b/bench/capacity/measureConfiguration.ts
@@ -5,15 +5,15 @@
 import { StoredConfiguration } from "../../src/version/storedConfiguration.ts";
 import { countWireBytes } from "./countWireBytes.ts";
 import { createSizedConfiguration } from "./createSizedConfiguration.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { letterSize } from "./letterSize.ts";
 import { measureHeap } from "./measureHeap.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 import { startStandin } from "./startStandin.ts";
 
 const role = "configuration";
-const { customers, models, runners } = letterSize;
+const { customers, models, runners } = designSize;
 const sizeFactors = [0.25, 0.5, 1];
 const repetitions = 5;
 const reads = 10;
@@ -52,7 +52,7 @@
         const indentedText = JSON.stringify(createSizedConfiguration({ ...size, models }), undefined, 4);
         bytes.push({ x, y: Buffer.byteLength(text) });
         indented.push({ x, y: encode(indentedText).length });
-        processor.push({ x, y: await measureProcessor(() => parse(text), repetitions) / 1_000 });
+        processor.push({ x, y: await measureProcessorTime(() => parse(text), repetitions) / 1_000 });
         const bytesInUse = measureHeap(() => {
             const configuration = parse(text);
             return { configuration, customers: CustomerIndex.create(configuration) };
@@ -80,7 +80,7 @@
         const swap = await store.compareAndSwap(StoredConfiguration.key, revision, encode(text));
         revision = swap.unwrap().revision ?? 0;
         await store.get(StoredConfiguration.key);
-        const spent = await measureProcessor(async () => {
+        const spent = await measureProcessorTime(async () => {
             for (let read = 0; read < reads; read++) {
                 await store.get(StoredConfiguration.key);
             }
--- a/bench/capacity/measureCustomers.ts
+++ b/bench/capacity/measureCustomers.ts
@@ -8,14 +8,14 @@
 import { VirtualClock } from "../../tests/support/virtualClock.ts";
 import { createBenchConfiguration } from "../admission/createBenchConfiguration.ts";
 import { createFleet } from "../policy/fleet.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { letterSize } from "./letterSize.ts";
 import { measureHeap } from "./measureHeap.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 
 const role = "customer limits and admission";
-const { customers, models, runners } = letterSize;
+const { customers, models, runners } = designSize;
 const customerCounts = [customers / 4, customers / 2, customers];
 const gateCapacity = 64;
 const requests = 10_000;
@@ -45,7 +45,7 @@
         heap.push({ x: count, y: measureHeap(() => createLimits(configuration, VirtualClock.create(), names), 20) });
         const clock = VirtualClock.create();
         const limits = createLimits(configuration, clock, names);
-        const spent = await measureProcessor(() => {
+        const spent = await measureProcessorTime(() => {
             for (let index = 0; index < decisions; index++) {
                 limits.takeRequest(names[index % count]!, 0);
             }
@@ -65,7 +65,7 @@
 async function measureReport(names: readonly string[]): Promise<number> {
     const clock = VirtualClock.create();
     const limits = createLimits(createConfiguration(names, slowRequestsPerSecond), clock, names);
-    const spent = await measureProcessor(async () => {
+    const spent = await measureProcessorTime(async () => {
         for (let report = 0; report < demandReports; report++) {
             await clock.runUntil(clock.getMonotonicTime() + reportIntervalMilliseconds);
             limits.getDemand(demandRecords);
@@ -95,7 +95,7 @@
         };
         await admitRequests();
         counts.lookups = 0;
-        processor.push({ x: count, y: await measureProcessor(admitRequests, repetitions) / requests });
+        processor.push({ x: count, y: await measureProcessorTime(admitRequests, repetitions) / requests });
         lookups.push({ x: count, y: counts.lookups / requests / repetitions });
         admission.startDraining();
     }
@@ -141,7 +141,7 @@
         const lookup = (): number =>
             getGateCapacity(configuration, `${modelGatePrefix}model0`, name => states.get(name));
         lookup();
-        const spent = await measureProcessor(() => {
+        const spent = await measureProcessorTime(() => {
             for (let repetition = 0; repetition < capacityLookups; repetition++) {
                 lookup();
             }
--- a/bench/capacity/measureDataPath.ts
+++ b/bench/capacity/measureDataPath.ts
@@ -2,8 +2,8 @@
 import { sendChat } from "../../scripts/deployment/sendChat.ts";
 import { readProcessorTime } from "../path/readProcessorTime.ts";
 import { collectNodeGarbage } from "./collectNodeGarbage.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { letterSize } from "./letterSize.ts";
 import type { PathFigures } from "./pathFigures.ts";
 import { readNodeMemory } from "./readNodeMemory.ts";
 import type { Slope } from "./slope.ts";
@@ -17,7 +17,7 @@
 const fastStepMilliseconds = 0.001;
 const slowStepMilliseconds = 25;
 const layers = 24;
-const layersPerStage = layers / letterSize.stages;
+const layersPerStage = layers / designSize.stages;
 
 /**
  * Measures one node that runs from source in front of stand-ins: its processor time per hop, and its memory per running
@@ -53,8 +53,8 @@
 }
 
 async function deploy(stepBaseMilliseconds: number): Promise<LocalDeployment> {
-    const engines = Array.from({ length: letterSize.stages * replicas }, (_, index) => {
-        const start = index % letterSize.stages * layersPerStage;
+    const engines = Array.from({ length: designSize.stages * replicas }, (_, index) => {
+        const start = index % designSize.stages * layersPerStage;
         return {
             name: `engine-${index}`,
             layers: `${start}-${start + layersPerStage}`,
@@ -78,7 +78,7 @@
     const run = async (callers: number, requests: number) => {
         const before = await readProcessorTime(deployment.nodes[0]!.adminAddress);
         const startedAt = performance.now();
-        const hops = await runRequests(deployment, callers, requests) * letterSize.stages;
+        const hops = await runRequests(deployment, callers, requests) * designSize.stages;
         const seconds = (performance.now() - startedAt) / 1_000;
         const after = await readProcessorTime(deployment.nodes[0]!.adminAddress);
         return { hops, seconds, processor: after.user + after.system - before.user - before.system };
--- a/bench/capacity/measureIdleNode.ts
+++ b/bench/capacity/measureIdleNode.ts
@@ -2,8 +2,8 @@
 import { LocalDeployment } from "../../scripts/deployment/localDeployment.ts";
 import { readProcessorTime } from "../path/readProcessorTime.ts";
 import { createSizedConfiguration } from "./createSizedConfiguration.ts";
+import { designSize } from "./designSize.ts";
 import type { IdleNode } from "./idleNode.ts";
-import { letterSize } from "./letterSize.ts";
 import { readNodeMemory } from "./readNodeMemory.ts";
 
 const settleMilliseconds = 2_000;
@@ -37,7 +37,7 @@
 }
 
 function createLargeParts(): object {
-    const size = { ...letterSize, models: 1 };
+    const size = { ...designSize, models: 1 };
     const { customers, dataCentres, links, endpoints } = createSizedConfiguration(size) as Record<string, object>;
     const documents: Record<string, object> = {};
     for (const [name, endpoint] of Object.entries(endpoints ?? {})) {
--- a/bench/capacity/measureObservation.ts
+++ b/bench/capacity/measureObservation.ts
@@ -3,16 +3,16 @@
 import { systemClock } from "../../src/process/systemClock.ts";
 import { EndpointRecordSchema } from "../../src/wire/generated/foxlead/peer/v1/peer_pb.ts";
 import { countWireBytes } from "./countWireBytes.ts";
-import { createObservedService } from "./createObservedService.ts";
+import { createBenchEndpointService } from "./createBenchEndpointService.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
 import { getHeapBytes } from "./getHeapBytes.ts";
-import { letterSize } from "./letterSize.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 import { startStandin } from "./startStandin.ts";
 
 const role = "endpoint observer";
-const { nodes, runners } = letterSize;
+const { nodes, runners } = designSize;
 const repetitions = 3;
 const cachedRounds = 50;
 const runnerCounts = [runners / 4, runners / 2, runners];
@@ -33,7 +33,7 @@
     await repeat(1_000, () => reachable.getStatus());
     const answeredPoints = [];
     for (const calls of [250, 500, 1_000]) {
-        const spent = await measureProcessor(() => repeat(calls, () => reachable.getStatus()), repetitions);
+        const spent = await measureProcessorTime(() => repeat(calls, () => reachable.getStatus()), repetitions);
         answeredPoints.push({ x: calls, y: spent });
     }
     const refusedPoints = [];
@@ -43,7 +43,7 @@
     };
     await repeat(500, callRefused);
     for (const calls of [250, 500, 1_000]) {
-        const spent = await measureProcessor(() => repeat(calls, callRefused), repetitions);
+        const spent = await measureProcessorTime(() => repeat(calls, callRefused), repetitions);
         refusedPoints.push({ x: calls, y: spent });
     }
     const bytePoints = [];
@@ -77,14 +77,14 @@
     const points = [];
     const cachedPoints = [];
     for (const members of [nodes / 10, nodes / 4, nodes / 2, nodes]) {
-        const { service, runRound } = await createObservedService(runners, members);
+        const { service, runRound } = await createBenchEndpointService(runners, members);
         const runChangedRound = (): void => {
             service.updateDuties();
             runRound();
         };
         runChangedRound();
-        points.push({ x: members, y: await measureProcessor(runChangedRound, repetitions) / 1_000 });
-        const spent = await measureProcessor(() => repeat(cachedRounds, runRound), repetitions);
+        points.push({ x: members, y: await measureProcessorTime(runChangedRound, repetitions) / 1_000 });
+        const spent = await measureProcessorTime(() => repeat(cachedRounds, runRound), repetitions);
         cachedPoints.push({ x: members, y: spent / 1_000 / cachedRounds });
         await service.close();
     }
@@ -98,13 +98,13 @@
 
 async function measureRecords(): Promise<Slope[]> {
     const points = [];
-    const { service } = await createObservedService(runners, nodes);
+    const { service } = await createBenchEndpointService(runners, nodes);
     let sequence = Date.now();
     // The first, largest count is a warm-up.
     for (const count of [8 * runners, ...runnerCounts]) {
         const batches = Array.from({ length: repetitions }, () => createRecords(count, sequence += count));
         const apply = () => service.applyRecords(batches.shift() ?? []);
-        points.push({ x: count, y: await measureProcessor(apply, repetitions) });
+        points.push({ x: count, y: await measureProcessorTime(apply, repetitions) });
     }
     await service.close();
     const heap = [];
@@ -112,7 +112,7 @@
         const before = getHeapBytes();
         const services = [];
         for (let copy = 0; copy < 4; copy++) {
-            const { service: sizedService } = await createObservedService(count, 3);
+            const { service: sizedService } = await createBenchEndpointService(count, 3);
             sizedService.applyRecords(createRecords(count, Date.now()));
             services.push(sizedService);
         }
@@ -134,11 +134,11 @@
 async function measureRecordQueue(): Promise<Slope[]> {
     const points = [];
     for (const count of runnerCounts) {
-        const { service } = await createObservedService(count, nodes);
+        const { service } = await createBenchEndpointService(count, nodes);
         service.applyRecords(createRecords(count, Date.now()));
         const messages = 200;
         const collect = () => repeat(messages, () => service.collectRecords(256));
-        const spent = await measureProcessor(collect, repetitions);
+        const spent = await measureProcessorTime(collect, repetitions);
         points.push({ x: count, y: spent / messages });
         await service.close();
     }
@@ -156,7 +156,7 @@
             queueDepth: index % 8,
             freeTokens: 100_000,
             sequences: 3,
-            layers: [{ model: `model-${index % letterSize.models}`, start: 0, end: 8 }],
+            layers: [{ model: `model-${index % designSize.models}`, start: 0, end: 8 }],
         }));
 }
 
--- a/bench/capacity/measureOrders.ts
+++ b/bench/capacity/measureOrders.ts
@@ -7,13 +7,13 @@
 import { MemoryStore } from "../../tests/support/memoryStore.ts";
 import { VirtualClock } from "../../tests/support/virtualClock.ts";
 import { createSizedConfiguration } from "./createSizedConfiguration.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { letterSize } from "./letterSize.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 
 const role = "order holder";
-const { models, runners } = letterSize;
+const { models, runners } = designSize;
 const startMilliseconds = 5_000;
 const runSeconds = 30;
 
@@ -91,7 +91,7 @@
     await clock.runUntil(startMilliseconds);
     const callsBefore = store.getCallCount();
     statusCalls = 0;
-    const spent = await measureProcessor(async () => {
+    const spent = await measureProcessorTime(async () => {
         for (let second = 1; second <= runSeconds; second++) {
             await clock.runUntil(startMilliseconds + second * 1_000);
             await new Promise(resolve => setImmediate(resolve));
--- a/bench/capacity/measurePeers.ts
+++ b/bench/capacity/measurePeers.ts
@@ -10,7 +10,7 @@
 import { createMembers } from "./createMembers.ts";
 import { fitSlope } from "./fitSlope.ts";
 import { measureHeap } from "./measureHeap.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { PeerFigures } from "./peerFigures.ts";
 import type { Slope } from "./slope.ts";
 
@@ -68,16 +68,16 @@
     const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, payloadRecords, size + fanOut);
     const rounds = Math.max(4, Math.floor(10_000 / size / fanOut));
     fleet.runRound();
-    const { bytes, messages } = fleet;
-    const spent = await measureProcessor(() => {
+    const { sentBytes: bytes, sentMessages: messages } = fleet;
+    const spent = await measureProcessorTime(() => {
         for (let round = 0; round < rounds; round++) {
             fleet.runRound();
         }
     });
     const nodeSeconds = size * rounds * intervalMilliseconds / 1_000;
     return {
-        messageBytes: 2 * (fleet.bytes - bytes) / nodeSeconds,
-        messages: 2 * (fleet.messages - messages) / nodeSeconds,
+        messageBytes: 2 * (fleet.sentBytes - bytes) / nodeSeconds,
+        messages: 2 * (fleet.sentMessages - messages) / nodeSeconds,
         processor: spent / 1_000 / nodeSeconds,
     };
 }
@@ -97,7 +97,7 @@
     await repeat(300, () => claim(connections, server.getAddress()));
     const claimPoints = [];
     for (const calls of [250, 500, 1_000]) {
-        const spent = await measureProcessor(() => repeat(calls, () => claim(connections, server.getAddress())));
+        const spent = await measureProcessorTime(() => repeat(calls, () => claim(connections, server.getAddress())));
         claimPoints.push({ x: calls, y: spent / 2 });
     }
     const bytePoints = [];
@@ -115,7 +115,7 @@
         await fetchText();
         textPoints.push({
             x: kibibytes,
-            y: await measureProcessor(() => repeat(textFetches, fetchText), 2) / 1_000 / textFetches / 2,
+            y: await measureProcessorTime(() => repeat(textFetches, fetchText), 2) / 1_000 / textFetches / 2,
         });
     }
     connections.close();
--- a/bench/capacity/measureReportSpread.ts
+++ b/bench/capacity/measureReportPropagation.ts
@@ -2,8 +2,8 @@
 import { maximumFullRateNodes } from "../../src/process/membership/maximumFullRateNodes.ts";
 import { PeerRotation } from "../../src/process/membership/peerRotation.ts";
 import { createSeededRandom } from "../../tests/support/createSeededRandom.ts";
-import { letterSize } from "./letterSize.ts";
-import type { ReportSpread } from "./reportSpread.ts";
+import { designSize } from "./designSize.ts";
+import type { ReportPropagation } from "./reportPropagation.ts";
 
 const roundMilliseconds = 500;
 /** A small deployment, fractions of the design size and the full design size. Up to nine nodes contact all their peers. */
@@ -11,7 +11,7 @@
     { nodeCount: 9, engines: 30, fanOut: 8 },
     { nodeCount: 34, engines: 120, fanOut: 3 },
     { nodeCount: 102, engines: 360, fanOut: 3 },
-    { nodeCount: letterSize.nodes, engines: letterSize.runners, fanOut: 3 },
+    { nodeCount: designSize.nodes, engines: designSize.runners, fanOut: 3 },
 ];
 /**
  * What nodes know at the start: nothing, as all nodes start at the same time; every engine; or every engine, of which a
@@ -46,11 +46,11 @@
  * Measures how old the records of the nodes are, and how long it takes until all nodes know that an engine is leaving.
  * The queues of the engines are idle, so that observers only send periodic refreshes and these changes of state.
  */
-export function measureReportSpread(): ReportSpread[] {
+export function measureReportPropagation(): ReportPropagation[] {
     return cases.map(measurePropagation);
 }
 
-function measurePropagation({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportSpread {
+function measurePropagation({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportPropagation {
     const random = createSeededRandom(seed);
     const refreshMilliseconds = baseRefreshMilliseconds * Math.max(1, nodeCount / maximumFullRateNodes);
     const nodes: ReportNode[] = Array.from({ length: nodeCount }, () => ({
--- a/bench/capacity/measureStatus.ts
+++ b/bench/capacity/measureStatus.ts
@@ -6,9 +6,9 @@
 import { parseConfiguration } from "../../src/version/parseConfiguration.ts";
 import { createMembers } from "./createMembers.ts";
 import { createSizedConfiguration } from "./createSizedConfiguration.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { letterSize } from "./letterSize.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 
 const role = "operator command";
@@ -22,8 +22,8 @@
     const metricBytes = [];
     const metricTime = [];
     for (const sizeFactor of [0.25, 0.5, 1]) {
-        const runners = sizeFactor * letterSize.runners;
-        const createStatus = prepareStatus(Math.round(sizeFactor * letterSize.nodes), runners);
+        const runners = sizeFactor * designSize.runners;
+        const createStatus = prepareStatus(Math.round(sizeFactor * designSize.nodes), runners);
         createStatus();
         statusBytes.push({ x: runners, y: createStatus().length });
         statusTime.push({ x: runners, y: await measureRepeated(createStatus) });
@@ -47,7 +47,7 @@
 }
 
 async function measureRepeated(run: () => unknown): Promise<number> {
-    return await measureProcessor(run, repetitions) / 1_000;
+    return await measureProcessorTime(run, repetitions) / 1_000;
 }
 
 function prepareStatus(nodes: number, runners: number): () => string {
@@ -64,7 +64,7 @@
         onSilentConnection: () => undefined,
         onStateChanged: () => undefined,
     });
-    const text = JSON.stringify(createSizedConfiguration({ customers: 0, runners, models: letterSize.models }));
+    const text = JSON.stringify(createSizedConfiguration({ customers: 0, runners, models: designSize.models }));
     directory.update(parseConfiguration(text).unwrap());
     return () =>
         JSON.stringify(createNodeStatus({
--- a/bench/capacity/measureStore.ts
+++ b/bench/capacity/measureStore.ts
@@ -14,9 +14,9 @@
 import { countWireBytes } from "./countWireBytes.ts";
 import { createMembers } from "./createMembers.ts";
 import { createSizedConfiguration } from "./createSizedConfiguration.ts";
+import { designSize } from "./designSize.ts";
 import { fitSlope } from "./fitSlope.ts";
-import { letterSize } from "./letterSize.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 import { startStandin } from "./startStandin.ts";
 
@@ -88,7 +88,7 @@
     const standin = await startStandin("standins/platform/main.ts", ["--vm-list-lag-milliseconds", "1"]);
     const processor = [];
     const bytes = [];
-    const vmCount = letterSize.nodes + letterSize.runners;
+    const vmCount = designSize.nodes + designSize.runners;
     for (const sizeFactor of [0.25, 0.5, 1]) {
         const count = Math.round(sizeFactor * vmCount);
         await listVms(standin.address, count);
@@ -100,7 +100,7 @@
             directory.observeVms(records);
         };
         await readOnce();
-        const spent = await measureProcessor(async () => {
+        const spent = await measureProcessorTime(async () => {
             for (let index = 0; index < listReads; index++) {
                 await readOnce();
             }
@@ -124,7 +124,7 @@
 /** Adds VMs to the stand-in's list, with nodes and runners in the proportions of the design size. */
 async function listVms(address: string, count: number): Promise<void> {
     for (let index = 0; index < count; index++) {
-        const isNode = index % Math.ceil((letterSize.nodes + letterSize.runners) / letterSize.nodes) === 0;
+        const isNode = index % Math.ceil((designSize.nodes + designSize.runners) / designSize.nodes) === 0;
         const name = isNode ? `entry-${index}` : `runner-${index}`;
         await fetch(`http://${address}/standin/vms/${name}`, {
             method: "PUT",
@@ -148,14 +148,14 @@
         dataCentre: "a",
         incarnation: 1,
     });
-    view.applyRecords(createMembers(letterSize.nodes), 0);
+    view.applyRecords(createMembers(designSize.nodes), 0);
     const directory = EndpointDirectory.create({
         clock: systemClock,
         onAnswered: () => undefined,
         onSilentConnection: () => undefined,
         onStateChanged: () => undefined,
     });
-    const text = JSON.stringify(createSizedConfiguration({ ...letterSize, customers: 0 }));
+    const text = JSON.stringify(createSizedConfiguration({ ...designSize, customers: 0 }));
     directory.update(parseConfiguration(text).unwrap());
     return { view, directory };
 }
--- a/bench/capacity/measureTakeover.ts
+++ b/bench/capacity/measureTakeover.ts
@@ -5,10 +5,10 @@
 import type { PlatformStore } from "../../src/process/platform/platformStore.ts";
 import { countWireBytes } from "./countWireBytes.ts";
 import { createBenchClaim } from "./createBenchClaim.ts";
-import { createBenchOwner } from "./createBenchOwner.ts";
+import { createBenchClaimOwner } from "./createBenchClaimOwner.ts";
 import { fitSlope } from "./fitSlope.ts";
 import { getHeapBytes } from "./getHeapBytes.ts";
-import { measureProcessor } from "./measureProcessor.ts";
+import { measureProcessorTime } from "./measureProcessorTime.ts";
 import type { Slope } from "./slope.ts";
 import { startStandin } from "./startStandin.ts";
 
@@ -61,7 +61,7 @@
     let reads = 0;
     let owner: ClaimOwner | undefined;
     const startedAt = performance.now();
-    const spent = await measureProcessor(async () => {
+    const spent = await measureProcessorTime(async () => {
         owner = await takeOver(createCountingStore(store, () => reads += 1), shard, slots);
     });
     const wall = performance.now() - startedAt;
@@ -95,7 +95,7 @@
     let onLoaded = (): void => undefined;
     const loaded = new Promise<void>(resolve => onLoaded = resolve);
     const write = (event: { number: number; }) => event.number === shardLoadedNumber ? onLoaded() : undefined;
-    const owner = createBenchOwner({ store, ringSize, log: { write } });
+    const owner = createBenchClaimOwner({ store, ringSize, log: { write } });
     owner.loadShard(shard);
     await loaded;
     return owner;
--- a/bench/capacity/measurements.ts
+++ b/bench/capacity/measurements.ts
@@ -1,7 +1,7 @@
 import type { IdleNode } from "./idleNode.ts";
 import type { PathFigures } from "./pathFigures.ts";
 import type { PeerFigures } from "./peerFigures.ts";
-import type { ReportSpread } from "./reportSpread.ts";
+import type { ReportPropagation } from "./reportPropagation.ts";
 import type { Slope } from "./slope.ts";
 
 /** Results of one run. Parts that weren't run are undefined. */
@@ -9,6 +9,6 @@
     slopes: Slope[];
     path?: PathFigures;
     peers?: PeerFigures;
-    reports?: ReportSpread[];
+    reports?: ReportPropagation[];
     idleNodes?: IdleNode[];
 }
--- a/bench/capacity/reportSpread.ts
+++ b/bench/capacity/reportPropagation.ts
@@ -1,5 +1,5 @@
 /** Results for the propagation of endpoint records to all nodes. */
-export interface ReportSpread {
+export interface ReportPropagation {
     nodes: number;
     engines: number;
     /** What all nodes know before the run. */
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -38,8 +38,8 @@
     const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, records, size + fanOut);
     const rounds = Math.max(minimumRounds, Math.min(100, Math.floor(maximumContacts / size / Math.min(fanOut, size))));
     fleet.runRound();
-    const bytesBefore = fleet.bytes;
-    const messagesBefore = fleet.messages;
+    const bytesBefore = fleet.sentBytes;
+    const messagesBefore = fleet.sentMessages;
     const before = process.cpuUsage();
     for (let round = 0; round < rounds; round++) {
         fleet.runRound();
@@ -49,8 +49,8 @@
     return {
         size,
         // Each message is counted at its sender and at its receiver.
-        messageBytes: 2 * (fleet.bytes - bytesBefore) / nodeSeconds,
-        messages: 2 * (fleet.messages - messagesBefore) / nodeSeconds,
+        messageBytes: 2 * (fleet.sentBytes - bytesBefore) / nodeSeconds,
+        messages: 2 * (fleet.sentMessages - messagesBefore) / nodeSeconds,
         cpuMilliseconds: (user + system) / 1_000 / nodeSeconds,
     };
 }
@@ -99,7 +99,7 @@
 /** Prints how many rounds membership changes take to reach all nodes. */
 function measurePropagation(size: number, fanOut: number): void {
     const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, 0, size * fanOut);
-    const joinedNodeId = fleet.add(0).view.getSelf().nodeId;
+    const joinedNodeId = fleet.addNode(0).view.getSelf().nodeId;
     const joinRounds = fleet.runUntil(
         () => fleet.nodes.every(node => hasState(node, joinedNodeId, ["alive"])),
         maximumRounds,
--- a/bench/membership/simulatedFleet.ts
+++ b/bench/membership/simulatedFleet.ts
@@ -20,9 +20,9 @@
 export class SimulatedFleet {
     readonly nodes: SimulatedNode[] = [];
     /** Total size of the messages sent so far, in bytes. */
-    bytes = 0;
+    sentBytes = 0;
     /** Number of messages sent so far. */
-    messages = 0;
+    sentMessages = 0;
     private readonly fanOut: number;
     private readonly random: () => number;
     private now = 0;
@@ -68,7 +68,7 @@
     }
 
     /** Adds a node that has pulled the full view. */
-    add(payloadRecords: number): SimulatedNode {
+    addNode(payloadRecords: number): SimulatedNode {
         const node = this.createNode(this.nodes.length, payloadRecords);
         this.nodes.push(node);
         this.pull(node);
@@ -143,8 +143,8 @@
     }
 
     private count(message: Uint8Array): void {
-        this.bytes += message.length;
-        this.messages++;
+        this.sentBytes += message.length;
+        this.sentMessages++;
     }
 
     private createNode(index: number, payloadRecords: number): SimulatedNode {
