--- a/bench/admission/loadModel.ts
+++ b/bench/admission/loadModel.ts
@@ -29,7 +29,7 @@
     /** Time that a caller waits for its answer, in milliseconds. */
     patienceMilliseconds: number;
     /** Maximum number of retries of a refused caller. */
-    maximumReturns: number;
+    maximumRetries: number;
 }
 
 /** A caller with its request. */
@@ -96,7 +96,7 @@
     }, retryAfterMilliseconds => {
         patience.cancel();
         result.observeRefusal(caller, clock.getMonotonicTime() - sentAt, retryAfterMilliseconds);
-        if (caller.retries < options.maximumReturns) {
+        if (caller.retries < options.maximumRetries) {
             caller.retries++;
             clock.setTimer(retryAfterMilliseconds, () => sendRequest(options, caller, result));
         }
--- a/bench/admission/main.ts
+++ b/bench/admission/main.ts
@@ -2,14 +2,14 @@
 import { measureCost } from "./measureCost.ts";
 import { measureFairness } from "./measureFairness.ts";
 import { measureGoodput } from "./measureGoodput.ts";
-import { measureReturns } from "./measureReturns.ts";
+import { measureRetries } from "./measureRetries.ts";
 import { measureSharedLimits } from "./measureSharedLimits.ts";
 
 const measurements: Record<string, () => Promise<void>> = {
     goodput: measureGoodput,
     fairness: measureFairness,
     limits: measureSharedLimits,
-    returns: measureReturns,
+    returns: measureRetries,
     concurrency: measureConcurrency,
     cost: measureCost,
 };
--- a/bench/admission/measureReturns.ts
+++ b/bench/admission/measureRetries.ts
@@ -18,7 +18,7 @@
 }
 
 /** Measures how 3,000 callers that arrive within 100 ms retry until all are served. */
-export async function measureReturns(): Promise<void> {
+export async function measureRetries(): Promise<void> {
     console.log(
         `\nRetries: ${callers} callers within 100 ms, each of which retries until it is served; capacity`
             + ` ${places} per second, maximum wait 2 s`,
--- a/bench/admission/runComparedLoad.ts
+++ b/bench/admission/runComparedLoad.ts
@@ -18,7 +18,7 @@
     patienceMilliseconds: number;
 }
 
-const maximumReturns = 3;
+const maximumRetries = 3;
 
 /** Runs a constant load against one of the gates. */
 export function runComparedLoad({ kind, rates, ...load }: ComparedLoad): Promise<LoadResult> {
@@ -37,5 +37,5 @@
     for (const [customer, rate] of rates) {
         streams.push({ customer, getRequestsPerSecond: () => rate, maximumRequestsPerSecond: rate });
     }
-    return runLoadModel({ clock, random: createRandom(1), gate, streams, maximumReturns, ...run, ...load });
+    return runLoadModel({ clock, random: createRandom(1), gate, streams, maximumRetries, ...run, ...load });
 }
--- a/bench/experiment/createRequest.ts
+++ b/bench/experiment/createRequest.ts
@@ -26,7 +26,7 @@
         events: Math.max(1, Math.round(answerTokens / experimentModel.stepsPerPass)),
         expectedAnswerTokens: Math.ceil(answerTokens * Math.exp(estimateLogDeviation * drawNormal(random))),
         deadlineMilliseconds: Math.floor(minimumDeadlineMilliseconds + deadlineRangeMilliseconds * random()),
-        impatientPart: settings.impatientPart,
+        immediateRetryProbability: settings.impatientPart,
     };
 }
 
--- a/bench/experiment/experiment.ts
+++ b/bench/experiment/experiment.ts
@@ -197,7 +197,7 @@
             this.clock.setTimer(from * secondMilliseconds, () => {
                 for (const engine of affectedEngines) {
                     engine.slowness = kind === "slow" ? factor : 1;
-                    engine.cutNodes = kind === "cut" ? disconnectedNodes : new Set();
+                    engine.disconnectedNodes = kind === "cut" ? disconnectedNodes : new Set();
                     if (kind === "lost") {
                         this.simulation.loseEngine(engine);
                     }
@@ -206,7 +206,7 @@
             this.clock.setTimer(to * secondMilliseconds, () => {
                 for (const engine of affectedEngines) {
                     engine.slowness = 1;
-                    engine.cutNodes = new Set();
+                    engine.disconnectedNodes = new Set();
                     engine.isLost = false;
                 }
             });
--- a/bench/experiment/mechanism.ts
+++ b/bench/experiment/mechanism.ts
@@ -1,16 +1,16 @@
 /** Mechanisms that an experiment can switch off to measure their effect. */
 export const Mechanism = {
     /** Gossip with more peers per round while nodes contend for engine memory. */
-    News: "news",
+    FastGossip: "news",
     /**
      * Limits each node's use of an endpoint's free memory; without it, a node uses all memory that the loads it knows
      * of leave free.
      */
-    Room: "room",
+    MemoryLimit: "room",
     /** Distinguishes full endpoints from unavailable ones. */
-    Full: "full",
+    FullEndpoints: "full",
     /** Distinguishes retries from new requests. */
-    Returns: "returns",
+    RetryDetection: "returns",
     /**
      * Starts requests first that can still meet their objective, and refuses requests on arrival that can't be served
      * in time.
--- a/bench/experiment/simulatedCaller.ts
+++ b/bench/experiment/simulatedCaller.ts
@@ -97,7 +97,7 @@
             this.end(retryAfterMilliseconds === undefined ? "failed" : "refused");
             return;
         }
-        const isImpatient = random() < request.impatientPart;
+        const isImpatient = random() < request.immediateRetryProbability;
         const maximumDelay = (this.deadlineAt - clock.getMonotonicTime()) * maximumRetryDelayFraction;
         this.timer?.cancel();
         this.timer = clock.setTimer(
--- a/bench/experiment/simulatedEngine.ts
+++ b/bench/experiment/simulatedEngine.ts
@@ -19,7 +19,7 @@
     isLost = false;
     slowness = 1;
     /** Indexes of the nodes that can't reach the engine. */
-    cutNodes: ReadonlySet<number> = new Set();
+    disconnectedNodes: ReadonlySet<number> = new Set();
     private readonly kind: AcceleratorKind;
     private prefillEndsAt = 0;
 
@@ -36,7 +36,7 @@
     }
 
     /** Gets if there is free memory for a number of tokens. */
-    hasRoom(tokens: number): boolean {
+    hasFreeMemory(tokens: number): boolean {
         return this.usedTokenLayers + this.getTokenLayers(tokens) <= this.totalTokenLayers;
     }
 
@@ -58,7 +58,7 @@
      * @param from - Time at which the prompt arrives, in milliseconds.
      * @returns Time at which the prefill ends, in milliseconds.
      */
-    readPrompt(tokens: number, from: number): number {
+    prefill(tokens: number, from: number): number {
         const work = {
             kind: this.kind,
             layers: this.layers.end - this.layers.start,
--- a/bench/experiment/simulatedEngines.ts
+++ b/bench/experiment/simulatedEngines.ts
@@ -52,7 +52,7 @@
             engines,
             promptTokens: request.promptTokens + request.lastEvent * model.stepsPerPass,
             events: request.events,
-            written: request.lastEvent,
+            writtenEvents: request.lastEvent,
             heldTokens: 0,
             listener,
             timer: undefined,
@@ -61,7 +61,7 @@
         let sentAt: number | undefined;
         this.counts.sent += 1;
         const first = engines[0]!;
-        if (first.isLost || first.cutNodes.has(node)) {
+        if (first.isLost || first.disconnectedNodes.has(node)) {
             this.setTimer(
                 run,
                 connectTimeoutMilliseconds,
@@ -92,12 +92,12 @@
             this.setTimer(run, stallMilliseconds, () => this.refuse(run, rest.find(({ isLost }) => isLost)!));
             return;
         }
-        if (!first!.hasRoom(run.promptTokens)) {
+        if (!first!.hasFreeMemory(run.promptTokens)) {
             first!.waiting.push(run);
             this.setTimer(run, memoryWaitMilliseconds, () => this.refuse(run, first!));
             return;
         }
-        const full = rest.find(engine => !engine.hasRoom(run.promptTokens));
+        const full = rest.find(engine => !engine.hasFreeMemory(run.promptTokens));
         if (full !== undefined) {
             this.refuse(run, full);
             return;
@@ -117,7 +117,7 @@
         for (const engine of run.engines) {
             engine.runs.add(run);
             engine.usedTokenLayers += engine.getTokenLayers(run.promptTokens);
-            prefilledAt = engine.readPrompt(run.promptTokens, prefilledAt) + networkMilliseconds;
+            prefilledAt = engine.prefill(run.promptTokens, prefilledAt) + networkMilliseconds;
         }
         run.heldTokens = run.promptTokens;
         this.setTimer(run, prefilledAt - this.clock.getMonotonicTime(), () => this.writeEvent(run));
@@ -128,13 +128,13 @@
             engine.usedTokenLayers += engine.getTokenLayers(model.stepsPerPass);
         }
         run.heldTokens += model.stepsPerPass;
-        run.written += 1;
+        run.writtenEvents += 1;
         if (!run.hasHead) {
             run.hasHead = true;
             run.listener.onHead(200, {});
         }
-        run.listener.onData(Buffer.from(`id: ${run.written}\ndata: x\n\n`));
-        if (run.written >= run.events) {
+        run.listener.onData(Buffer.from(`id: ${run.writtenEvents}\ndata: x\n\n`));
+        if (run.writtenEvents >= run.events) {
             this.removeRun(run);
             run.listener.onEnd();
             return;
@@ -169,7 +169,7 @@
             }
             this.counts.preempted += 1;
             this.releaseMemory(newest);
-            newest.promptTokens = newest.promptTokens + newest.written * model.stepsPerPass;
+            newest.promptTokens = newest.promptTokens + newest.writtenEvents * model.stepsPerPass;
             newest.engines[0]!.waiting.unshift(newest);
             newest.timer?.cancel();
         }
@@ -200,7 +200,7 @@
 
     private startNextWaiting(engine: SimulatedEngine): void {
         const [next] = engine.waiting;
-        if (next !== undefined && next.engines.every(other => other.hasRoom(next.promptTokens))) {
+        if (next !== undefined && next.engines.every(other => other.hasFreeMemory(next.promptTokens))) {
             engine.waiting.shift();
             next.timer?.cancel();
             this.startPrefill(next);
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -94,7 +94,7 @@
 
     /** Gets if the node gossips with more peers per round. */
     isBusy(): boolean {
-        return !this.without.has(Mechanism.News) && this.environment.queue.isContended();
+        return !this.without.has(Mechanism.FastGossip) && this.environment.queue.isContended();
     }
 
     /** Exchanges state with a peer, in both directions. */
@@ -116,13 +116,13 @@
     }
 
     private switchOffMechanisms(loads: EndpointLoads, deadlines: RetryDetector, queue: RelayQueue): void {
-        if (this.without.has(Mechanism.Room)) {
+        if (this.without.has(Mechanism.MemoryLimit)) {
             loads.getAvailableMemory = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
         }
-        if (this.without.has(Mechanism.Full)) {
+        if (this.without.has(Mechanism.FullEndpoints)) {
             loads.markFull = (endpointId, now) => this.environment.health.markUnavailable(endpointId, now);
         }
-        if (this.without.has(Mechanism.Returns)) {
+        if (this.without.has(Mechanism.RetryDetection)) {
             deadlines.observeRequest = () => false;
         }
         if (this.without.has(Mechanism.Timeliness)) {
--- a/bench/experiment/simulatedRequest.ts
+++ b/bench/experiment/simulatedRequest.ts
@@ -10,5 +10,5 @@
     /** Time that the caller waits for the answer, in milliseconds. */
     deadlineMilliseconds: number;
     /** Probability that the caller retries at once after a refusal. */
-    impatientPart: number;
+    immediateRetryProbability: number;
 }
--- a/bench/experiment/simulatedRun.ts
+++ b/bench/experiment/simulatedRun.ts
@@ -9,7 +9,7 @@
     promptTokens: number;
     /** Number of events in the whole answer, and of events written so far. */
     events: number;
-    written: number;
+    writtenEvents: number;
     /** Tokens that take up memory at the engines. */
     heldTokens: number;
     listener: UpstreamListener;
--- a/bench/policy/greedyChooser.ts
+++ b/bench/policy/greedyChooser.ts
@@ -10,11 +10,11 @@
 /** Load of an endpoint as seen by a {@link GreedyChooser}. */
 export interface GreedyLoad {
     /** Number of sequences in the last load report. */
-    reported: number;
+    reportedSequences: number;
     /** Number of sequences that this node runs. */
-    own: number;
+    ownSequences: number;
     /** Number of times that this node has chosen the endpoint. */
-    chosen: number;
+    timesChosen: number;
     maximumSequences: number;
 }
 
@@ -31,7 +31,7 @@
         this.configuration = configuration;
         this.rank = rank;
         for (const [name, { maximumSequences }] of Object.entries(configuration.endpoints)) {
-            this.loads.set(name, { reported: 0, own: 0, chosen: 0, maximumSequences });
+            this.loads.set(name, { reportedSequences: 0, ownSequences: 0, timesChosen: 0, maximumSequences });
         }
     }
 
@@ -65,8 +65,8 @@
         for (const { endpoint } of stages) {
             const load = this.loads.get(endpoint);
             if (load !== undefined) {
-                load.own++;
-                load.chosen++;
+                load.ownSequences++;
+                load.timesChosen++;
             }
         }
     }
@@ -76,7 +76,7 @@
         for (const { endpoint } of stages) {
             const load = this.loads.get(endpoint);
             if (load !== undefined) {
-                load.own--;
+                load.ownSequences--;
             }
         }
     }
@@ -90,7 +90,7 @@
     observeLoad(report: LoadReport): void {
         const load = this.loads.get(report.endpoint);
         if (load !== undefined) {
-            load.reported = report.sequences;
+            load.reportedSequences = report.sequences;
         }
     }
 
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -9,14 +9,14 @@
 export const policies: readonly Policy[] = [
     {
         name: "round robin",
-        createChooser: ({ getConfiguration }) => GreedyChooser.create(getConfiguration(), load => load.chosen),
+        createChooser: ({ getConfiguration }) => GreedyChooser.create(getConfiguration(), load => load.timesChosen),
     },
     {
         name: "least loaded",
         createChooser: ({ getConfiguration }) =>
             GreedyChooser.create(
                 getConfiguration(),
-                load => Math.max(load.reported, load.own) / load.maximumSequences,
+                load => Math.max(load.reportedSequences, load.ownSequences) / load.maximumSequences,
             ),
     },
     {
--- a/bench/recovery/fault.ts
+++ b/bench/recovery/fault.ts
@@ -4,9 +4,9 @@
 export interface Fault {
     name: string;
     /** Gets the engines that the fault affects, given an engine that carries streams. */
-    getStruck(fleet: EngineFleet, engine: string): string[];
+    getAffectedEngines(fleet: EngineFleet, engine: string): string[];
     /** Injects the fault at an engine. */
-    strike(fleet: EngineFleet, engine: string): void | Promise<void>;
+    inject(fleet: EngineFleet, engine: string): void | Promise<void>;
     /** Restores an engine after the fault. */
     repair(fleet: EngineFleet, engine: string): void | Promise<void>;
 }
--- a/bench/recovery/faults.ts
+++ b/bench/recovery/faults.ts
@@ -10,40 +10,40 @@
 export const faults: readonly Fault[] = [
     {
         name: "stage dies",
-        getStruck: getSingleEngine,
-        strike: (fleet, engine) => fleet.signal(engine, "SIGKILL"),
+        getAffectedEngines: getSingleEngine,
+        inject: (fleet, engine) => fleet.signal(engine, "SIGKILL"),
         repair: restart,
     },
     {
         name: "stage freezes",
-        getStruck: getSingleEngine,
-        strike: (fleet, engine) => fleet.signal(engine, "SIGSTOP"),
+        getAffectedEngines: getSingleEngine,
+        inject: (fleet, engine) => fleet.signal(engine, "SIGSTOP"),
         repair: restart,
     },
     {
         name: "connections go silent",
-        getStruck: getSingleEngine,
-        strike: (fleet, engine) => fleet.setFaults(engine, { freezeExistingConnections: true }),
+        getAffectedEngines: getSingleEngine,
+        inject: (fleet, engine) => fleet.setFaults(engine, { freezeExistingConnections: true }),
         repair: restart,
     },
     {
         name: "stage slows tenfold",
-        getStruck: getSingleEngine,
-        strike: (fleet, engine) => fleet.setFaults(engine, { slowFactor }),
+        getAffectedEngines: getSingleEngine,
+        inject: (fleet, engine) => fleet.setFaults(engine, { slowFactor }),
         repair: (fleet, engine) => fleet.setFaults(engine, { slowFactor: 1 }),
     },
     {
         name: "data centre dies",
-        getStruck: (fleet, engine) =>
+        getAffectedEngines: (fleet, engine) =>
             fleet.getNames().filter(name => fleet.getDataCentre(name) === fleet.getDataCentre(engine)),
-        strike: (fleet, engine) => fleet.signal(engine, "SIGKILL"),
+        inject: (fleet, engine) => fleet.signal(engine, "SIGKILL"),
         repair: restart,
     },
     {
         name: "data centre freezes",
-        getStruck: (fleet, engine) =>
+        getAffectedEngines: (fleet, engine) =>
             fleet.getNames().filter(name => fleet.getDataCentre(name) === fleet.getDataCentre(engine)),
-        strike: (fleet, engine) => fleet.signal(engine, "SIGSTOP"),
+        inject: (fleet, engine) => fleet.signal(engine, "SIGSTOP"),
         repair: restart,
     },
 ];
--- a/bench/recovery/runTrial.ts
+++ b/bench/recovery/runTrial.ts
@@ -61,10 +61,12 @@
     const repeatedBefore = await fleet.countRepeatedPasses() - repeatedAtStart;
     const replacedBefore = router.counts.replacedConnections;
     const inFlight = load.getRunning().filter(record => record.tokenTimes.length > 0);
-    const affectedEngines = fault === undefined ? [] : fault.getStruck(fleet, chooseEngine(inFlight, random()));
+    const affectedEngines = fault === undefined
+        ? []
+        : fault.getAffectedEngines(fleet, chooseEngine(inFlight, random()));
     const affected = inFlight.filter(record => record.endpoints.some(endpoint => affectedEngines.includes(endpoint)));
     const faultAt = performance.now();
-    await Promise.all(affectedEngines.map(engine => fault?.strike(fleet, engine)));
+    await Promise.all(affectedEngines.map(engine => fault?.inject(fleet, engine)));
     await sleep(observedMilliseconds);
     const end = faultAt + observedMilliseconds;
     await waitUntilEnded(inFlight);
--- a/tests/bench/experiment.test.ts
+++ b/tests/bench/experiment.test.ts
@@ -56,7 +56,7 @@
     });
 
     it("depend on fast gossip: without it, endpoints refuse far more attempts", () => {
-        assert.ok(runLoad("overload-4x", [Mechanism.News]).refusedPart > 0.1);
+        assert.ok(runLoad("overload-4x", [Mechanism.FastGossip]).refusedPart > 0.1);
     });
 
     it("depend on the order by timeliness: without it, far fewer requests are served in time", () => {
--- a/tests/support/memoryStore.ts
+++ b/tests/support/memoryStore.ts
@@ -76,7 +76,7 @@
     setDown(isDown: boolean): void {
         this.isDown = isDown;
         if (isDown) {
-            this.breakWatches();
+            this.closeWatches();
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     /** Closes all watches from the service's side. */
-    breakWatches(): void {
+    closeWatches(): void {
         for (const watch of [...this.watches]) {
             this.watches.delete(watch);
             watch.options.onClosed(notDone);
