--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -127,7 +127,7 @@
         }
         if (this.without.has(Mechanism.Timeliness)) {
             const { submit: ask } = queue;
-            queue.submit = relay => ask.call(queue, { ...relay, timelyUntil: Infinity });
+            queue.submit = relay => ask.call(queue, { ...relay, latestOnTimeStart: Infinity });
         }
     }
 }
