--- a/src/connection/caller/answerWriter.ts
+++ b/src/connection/caller/answerWriter.ts
@@ -29,7 +29,7 @@
     /**
      * Creates the writer of one request.
      * @param response - The caller's response.
-     * @param closesConnection - Gets if the connection should close after the answer.
+     * @param closesConnection - Checks if the connection should close after the answer.
      */
     static create(response: ServerResponse, closesConnection: () => boolean = () => false): AnswerWriter {
         const writer = new AnswerWriter(response, closesConnection);
@@ -37,12 +37,12 @@
         return writer;
     }
 
-    /** Gets if the headers have been sent, so that an error can only be reported inside the stream. */
+    /** Checks if the headers have been sent, so that an error can only be reported inside the stream. */
     isStreaming(): boolean {
         return this.response.headersSent;
     }
 
-    /** Gets if the final answer has been written. */
+    /** Checks if the final answer has been written. */
     hasFinalAnswer(): boolean {
         return this.isFinished;
     }
--- a/src/connection/caller/createForwardedHeaders.ts
+++ b/src/connection/caller/createForwardedHeaders.ts
@@ -1,6 +1,13 @@
 import type { IncomingHttpHeaders } from "node:http";
 
-/** Headers that are not forwarded, because they apply to one connection (RFC 9110, section 7.6.1) or to foxlead. */
+/**
+ * Headers of a caller's request that are not forwarded:
+ *
+ * - hop-by-hop headers, which apply to one connection or one proxy (RFC 9110, section 7.6.1);
+ * - `content-length` and `host`, which the HTTP client sets;
+ * - `authorization` and `expect`, which this node handles itself;
+ * - `idempotency-key` and `traceparent`, which this node reads and then sets itself.
+ */
 const droppedHeaders: ReadonlySet<string> = new Set([
     "authorization",
     "connection",
@@ -20,7 +27,8 @@
 ]);
 
 /**
- * Gets the headers of a caller's request that are forwarded to a document service.
+ * Creates the headers that are forwarded to a document service: those of the caller's request except the
+ * {@link droppedHeaders} and headers that Node.js parses into an array, such as `set-cookie`.
  * @param headers - Headers of the caller's request.
  */
 export function createForwardedHeaders(headers: IncomingHttpHeaders): Record<string, string> {
--- a/src/connection/caller/hasUnreadBody.ts
+++ b/src/connection/caller/hasUnreadBody.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage } from "node:http";
 
 /**
- * Gets if the body of a request has not been received completely.
+ * Checks if the body of a request has not been received completely.
  * @param request - The caller's request.
  */
 export function hasUnreadBody(request: IncomingMessage): boolean {
--- a/src/connection/document/documentConnection.ts
+++ b/src/connection/document/documentConnection.ts
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Gets if the endpoint accepts a new connection. No byte is sent, since the services have no common health check.
+     * Checks if the endpoint accepts a new connection. No byte is sent, since the services have no common health check.
      */
     isAnswering(): Promise<boolean> {
         const { hostname, port } = new URL(`tcp://${this.options.address}`);
--- a/src/connection/endpoint/endpointObserver.ts
+++ b/src/connection/endpoint/endpointObserver.ts
@@ -17,7 +17,7 @@
      * all nodes stays constant. It is 1 for few nodes.
      */
     getStretch(): number;
-    /** Gets if this node is an observer of an endpoint. */
+    /** Checks if this node is an observer of an endpoint. */
     isObserver(endpoint: string): boolean;
     /** Called with each status of an engine. */
     onStatus(endpoint: string, status: EngineStatus): void;
--- a/src/connection/endpoint/endpointReports.ts
+++ b/src/connection/endpoint/endpointReports.ts
@@ -1,7 +1,7 @@
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import type { EndpointRecordSchema } from "../../wire/generated/foxlead/peer/v1/peer_pb.ts";
 
-/** An endpoint record in the form that is sent to peers. */
+/** An endpoint record: the state and load of one endpoint as one node observed them, in the form that is sent to peers. */
 export type EndpointReport = MessageInitShape<typeof EndpointRecordSchema> & { endpoint: string; sequence: bigint; };
 
 /** A report that is still to be sent. */
--- a/src/connection/endpoint/engineConnection.ts
+++ b/src/connection/endpoint/engineConnection.ts
@@ -131,14 +131,14 @@
     }
 
     /**
-     * Probes the engine over a new connection and gets if it answers. Concurrent calls share one probe. If the probe
+     * Probes the engine over a new connection and returns whether it answers. Concurrent calls share one probe. If the probe
      * gets no response, all pending passes fail.
      */
     isAnswering(): Promise<boolean> {
         return this.reachability.probe();
     }
 
-    /** Gets if this node recently sent a pass to the engine. */
+    /** Checks if this node recently sent a pass to the engine. */
     isInUse(): boolean {
         return this.reachability.isInUse();
     }
--- a/src/connection/endpoint/engineProtocol.ts
+++ b/src/connection/endpoint/engineProtocol.ts
@@ -15,6 +15,11 @@
  *   is outdated.
  * - `GET /v1/health` immediately returns 200.
  */
+
+/**
+ * A run of a range of layers over consecutive positions of one attempt of a request. A position is the index of a token in
+ * the sequence of the prompt and the answer, from 0.
+ */
 export interface Pass {
     /** Number that the sender assigns, unique on the connection of the batch. The result contains it. */
     id: number;
@@ -115,6 +120,7 @@
 
 /** Order to an engine to load or unload a layer range. It describes the desired state. */
 export interface EngineOrder {
+    /** Fencing number of the lease under which the order is sent, see `FencedLease`. */
     fencingNumber: number;
     kind: "load" | "unload";
     range: LayerRange;
--- a/src/connection/endpoint/engineReachability.ts
+++ b/src/connection/endpoint/engineReachability.ts
@@ -50,17 +50,17 @@
         this.unreachableUntil = Number.NEGATIVE_INFINITY;
     }
 
-    /** Gets if a pass was recently sent to the engine. */
+    /** Checks if a pass was recently sent to the engine. */
     isInUse(): boolean {
         return this.options.clock.getMonotonicTime() - this.usedAt < inUseMilliseconds;
     }
 
-    /** Gets if a recent probe failed and the engine has not answered since. */
+    /** Checks if a recent probe failed and the engine has not answered since. */
     isUnreachable(): boolean {
         return this.options.clock.getMonotonicTime() < this.unreachableUntil;
     }
 
-    /** Probes the engine and gets if it answers. Concurrent calls share one probe. */
+    /** Probes the engine and returns whether it answers. Concurrent calls share one probe. */
     probe(): Promise<boolean> {
         this.runningProbe ??= this.runProbe();
         return this.runningProbe;
--- a/src/connection/endpoint/isConnectFailure.ts
+++ b/src/connection/endpoint/isConnectFailure.ts
@@ -8,7 +8,7 @@
 const connectTimeoutCode = "UND_ERR_CONNECT_TIMEOUT";
 
 /**
- * Gets if an error occurred before a connection was established, so that no byte of the request can have arrived.
+ * Checks if an error occurred before a connection was established, so that no byte of the request can have arrived.
  * @param error - Error of the HTTP library.
  */
 export function isConnectFailure(error: unknown): boolean {
--- a/src/connection/endpoint/passDeadline.ts
+++ b/src/connection/endpoint/passDeadline.ts
@@ -1,26 +1,32 @@
 /** Lower limit of deadlines, so that a garbage collection pause on either side doesn't exceed the deadline. */
 const minimumDeadlineMilliseconds = 150;
 const maximumDeadlineMilliseconds = 10_000;
-/** A probe opens a connection and makes a small call: two round trips and no engine step. */
+/** Lower limit of a probe's timeout. A probe opens a connection and makes a small call: two round trips and no engine step. */
 const minimumProbeMilliseconds = 200;
 const maximumProbeMilliseconds = 2_000;
+/** Ratio of the timeout of a probe to the deadline of a decode pass. */
 const probeFactor = 4 / 3;
+/** Estimated mean time of a decode pass before the first sample. */
 const initialDecodeMilliseconds = 100;
+/** Estimated mean time per position that a prefill pass takes longer than a decode pass, before the first sample. */
 const initialPositionMilliseconds = 2;
+/** Weight of a new sample in the moving averages of the mean and of the deviation. */
 const smoothingFactor = 0.1;
-/** Number of mean deviations that are added to the scaled mean, as in TCP's retransmission timer (RFC 6298). */
+/** Number of mean deviations in an upper bound, see {@link getUpperBound}. */
 const deviationFactor = 6;
+/** Factor of the mean in an upper bound, see {@link getUpperBound}. */
 const meanFactor = 2;
 
-/** An exponential moving average and its mean deviation, as in RFC 6298. */
+/** Exponential moving averages of a time and of its absolute deviation from the mean, in milliseconds. */
 interface MovingAverage {
     mean: number;
     deviation: number;
 }
 
 /**
- * Learns how long to wait for the result of a pass of one endpoint before its connection is checked by a probe.
- * Decode passes (one position) and prefill passes (time per position) have separate averages.
+ * Estimates the deadlines of the passes of one endpoint, from the times that its passes took. When a pass exceeds its
+ * deadline, the caller checks the endpoint with a probe. The time of a decode pass, which has one position, and the time per
+ * position by which a prefill pass takes longer than a decode pass have separate averages.
  */
 export class PassDeadline {
     private readonly decode: MovingAverage = {
@@ -34,7 +40,7 @@
 
     private constructor() {}
 
-    /** Creates a deadline from the initial estimates. */
+    /** Creates an estimator that returns the initial estimates until the first sample. */
     static create(): PassDeadline {
         return new PassDeadline();
     }
@@ -67,7 +73,8 @@
     }
 
     /**
-     * Gets the timeout of a probe over a new connection, in whole milliseconds. It grows with the latency of the link.
+     * Gets the timeout of a probe over a new connection, in whole milliseconds. It grows with the latency of the link, since
+     * the times of the passes include it.
      */
     getProbeTimeout(): number {
         const timeoutMilliseconds = Math.ceil(probeFactor * this.getDeadline(1));
@@ -75,12 +82,20 @@
     }
 }
 
+/**
+ * Adds a sample to the averages. As in the retransmission timer of TCP (RFC 6298), the deviation is measured from the mean
+ * before the sample. The RFC gives the sample a weight of 1/8 in the mean and 1/4 in the deviation; here both are 1/10.
+ */
 function updateAverage(time: MovingAverage, sampleMilliseconds: number): void {
     const deviation = sampleMilliseconds - time.mean;
     time.mean += smoothingFactor * deviation;
     time.deviation += smoothingFactor * (Math.abs(deviation) - time.deviation);
 }
 
+/**
+ * Gets an upper bound of a time from its averages. RFC 6298 adds 4 mean deviations to the mean; this adds 6 to twice the
+ * mean.
+ */
 function getUpperBound(time: MovingAverage): number {
     return meanFactor * time.mean + deviationFactor * time.deviation;
 }
--- a/src/connection/upstream/upstreamPool.ts
+++ b/src/connection/upstream/upstreamPool.ts
@@ -40,7 +40,7 @@
         return this.connections.size;
     }
 
-    /** Gets if the pool has an idle connection. */
+    /** Checks if the pool has an idle connection. */
     hasIdle(): boolean {
         return this.idle.length > 0;
     }
--- a/src/process/admin/adminServer.ts
+++ b/src/process/admin/adminServer.ts
@@ -18,9 +18,9 @@
     /** Address to listen on, as `host:port` with an IP address. */
     listener: string;
     metrics: Metrics;
-    /** Gets if the load balancer may send requests to this node, and why. */
+    /** Checks if the load balancer may send requests to this node. The result contains the reason. */
     isReady(): Readiness;
-    /** Gets if the process works. If not, the platform is expected to replace it. */
+    /** Checks if the process works. If not, the platform is expected to replace it. */
     isHealthy(): boolean;
     /** Gets the status for operators, which is served as JSON. */
     getStatus(): object;
--- a/src/process/admissionService.ts
+++ b/src/process/admissionService.ts
@@ -78,7 +78,7 @@
     }
 }
 
-/** Gets if a node in this state accepts no more requests. */
+/** Checks if a node in this state accepts no more requests. */
 function hasLeft(state: MemberState): boolean {
     return state === MemberState.Leaving || state === MemberState.Dead;
 }
--- a/src/process/claims/claim.ts
+++ b/src/process/claims/claim.ts
@@ -1,4 +1,4 @@
-/** A request's claim on an idempotency key. */
+/** A request's claim on an idempotency key: it asks to be the only request with this key that runs. */
 export interface Claim {
     /** Customer name, a slash and a UUID version 7 in lower case. */
     key: string;
--- a/src/process/claims/claimRing.ts
+++ b/src/process/claims/claimRing.ts
@@ -77,13 +77,13 @@
         return Math.max(this.logHorizon, this.slots[this.getNextSlot()]?.latestIssuedAt ?? -1);
     }
 
-    /** Gets if all claims in the next append's slot have expired. */
+    /** Checks if all claims in the next append's slot have expired. */
     isNextSlotFree(wallTime: number): boolean {
         const slot = this.slots[this.getNextSlot()];
         return slot === undefined || this.isExpired(slot, wallTime);
     }
 
-    /** Gets if a key that is not in memory may belong to a claim that was dropped, or that the next append overwrites. */
+    /** Checks if a key that is not in memory may belong to a claim that was dropped, or that the next append overwrites. */
     isBelowHorizon(issuedAt: number): boolean {
         return issuedAt <= Math.max(this.memoryHorizon, this.getNextHorizon());
     }
--- a/src/process/claims/claimShard.ts
+++ b/src/process/claims/claimShard.ts
@@ -76,7 +76,7 @@
         return this.ring.getClaimCount();
     }
 
-    /** Gets if the ring has been read up to its tail. */
+    /** Checks if the ring has been read up to its tail. */
     isReady(): boolean {
         return this.cursor.getKey() === undefined;
     }
--- a/src/process/claims/claimShardRunner.ts
+++ b/src/process/claims/claimShardRunner.ts
@@ -21,6 +21,7 @@
     shard: ClaimShard;
 }
 
+/** A claim that waits for its verdict, with the callbacks that settle its promise. */
 interface Ticket {
     claim: Claim;
     resolve(verdict: ClaimVerdict): void;
@@ -30,6 +31,7 @@
 /** Runs one claim shard: makes its store calls, sets its timer and resolves its verdicts. */
 export class ClaimShardRunner {
     private readonly options: ClaimShardRunnerOptions;
+    /** By the number that identifies the claim in the shard's output. */
     private readonly tickets = new Map<number, Ticket>();
     private nextTicket = 0;
     private timer: TimerHandle | undefined;
@@ -75,7 +77,7 @@
         this.tickets.clear();
     }
 
-    /** Gets if the runner was closed or ended because of a failed check. */
+    /** Checks if the runner was closed or ended because of a failed check. */
     hasEnded(): boolean {
         return this.isClosed;
     }
--- a/src/process/claims/claimVerdict.ts
+++ b/src/process/claims/claimVerdict.ts
@@ -1,6 +1,6 @@
 import type { ClaimOutcome } from "./claimOutcome.ts";
 
-/** Result of a claim. */
+/** The decision on a claim: whether the claimant may run its request and, if not, why. */
 export interface ClaimVerdict {
     outcome: ClaimOutcome;
     /** First claimant of the key, if known. */
--- a/src/process/claims/waitingClaims.ts
+++ b/src/process/claims/waitingClaims.ts
@@ -10,7 +10,7 @@
 export interface WaitingClaimsOptions {
     /** Decides a claim from the shard's state. Returns undefined if the claim has to wait. */
     decide(claim: Claim, wallTime: number): ClaimVerdict | undefined;
-    /** Gets if the shard has been read up to its tail. */
+    /** Checks if the shard has been read up to its tail. */
     isReady(): boolean;
     /** Finds a claim on a key that may have taken effect or may still do so. */
     findUnconfirmed(key: string): Claim | undefined;
--- a/src/process/endpointService.ts
+++ b/src/process/endpointService.ts
@@ -138,7 +138,7 @@
         });
     }
 
-    /** Gets if this node observes an endpoint. The result is cached, since computing it visits all members. */
+    /** Checks if this node observes an endpoint. The result is cached, since computing it visits all members. */
     private isObserver(endpoint: string): boolean {
         const known = this.observerDuties.get(endpoint);
         if (known !== undefined) {
--- a/src/process/jsonc/describeIssue.ts
+++ b/src/process/jsonc/describeIssue.ts
@@ -3,7 +3,7 @@
 
 /**
  * Converts a zod issue to faults whose messages say how to fix the problem.
- * @param hasValue - Gets if the text has a value at a path.
+ * @param hasValue - Checks if the text has a value at a path.
  */
 export function describeIssue(
     issue: z.core.$ZodIssue,
--- a/src/process/jsonc/jsoncDocument.ts
+++ b/src/process/jsonc/jsoncDocument.ts
@@ -55,7 +55,7 @@
         return this.root === undefined ? undefined : getNodeValue(this.root);
     }
 
-    /** Gets if there is a value at a path. */
+    /** Checks if there is a value at a path. */
     hasValue(path: (string | number)[]): boolean {
         return this.root !== undefined && findNodeAtLocation(this.root, path) !== undefined;
     }
--- a/src/process/leases/leaseRecord.ts
+++ b/src/process/leases/leaseRecord.ts
@@ -2,7 +2,10 @@
 export interface LeaseRecord {
     /** Name of the holder. */
     holder: string;
-    /** Increases with each change of the holder. */
+    /**
+     * Fencing number: increases each time the lease is acquired, and stays the same when it is renewed. Endpoints that
+     * check it refuse orders with a lower number than the highest one that they have received.
+     */
     fencingNumber: number;
     /** Unique per write. A holder recognizes its own writes by it after lost responses. */
     writeId: string;
--- a/src/process/leases/leaseRelease.ts
+++ b/src/process/leases/leaseRelease.ts
@@ -1,7 +1,7 @@
-/** Notice by a holder that it has released a lease. */
+/** A release of a lease, by this process or another one. */
 export interface LeaseRelease {
-    /** Revision of the lease's record with the release. */
+    /** Revision in the store of the write that released the lease. */
     revision: number;
-    /** Fencing number of the holder. */
+    /** Fencing number of the holder that released it. */
     fencingNumber: number;
 }
--- a/src/process/membership/gossipPayloads.ts
+++ b/src/process/membership/gossipPayloads.ts
@@ -6,17 +6,25 @@
     EndpointRecordSchema,
 } from "../../wire/generated/foxlead/peer/v1/peer_pb.ts";
 
-/** Records sent along with gossip messages. The membership code does not interpret them. */
+/**
+ * Callbacks that provide and apply the endpoint and demand records in gossip messages. The membership code does not interpret
+ * the records.
+ */
 export interface GossipPayloads {
     /**
-     * Gets endpoint records to send now.
-     * @param budgetBytes - Most bytes of the encoded records.
+     * Gets the endpoint records for one message. An endpoint record is the state and load of one endpoint, as one node
+     * observed them.
+     * @param budgetBytes - Maximum encoded size of the records.
      */
     collectEndpointRecords(budgetBytes: number): MessageInitShape<typeof EndpointRecordSchema>[];
     /** Applies the endpoint records of a peer. */
     applyEndpointRecords(records: EndpointRecord[]): void;
-    /** Gets this node's demand records to send now, with at most the given encoded size. */
+    /**
+     * Gets this node's demand records for one message. A demand record is the request rate of one customer at one node; the
+     * nodes need it to enforce the customers' rate limits together.
+     * @param budgetBytes - Maximum encoded size of the records. May be exceeded in a small cluster.
+     */
     collectDemandRecords(budgetBytes: number): MessageInitShape<typeof DemandRecordSchema>[];
-    /** Applies the demand records of a peer. */
+    /** Applies the demand records of a peer, which replace its earlier ones. */
     applyDemandRecords(records: DemandRecord[], fromNodeId: string): void;
 }
--- a/src/process/membership/gossiper.ts
+++ b/src/process/membership/gossiper.ts
@@ -182,7 +182,7 @@
     }
 }
 
-/** Gets if an error counts against the peer's health. Others, such as a full queue of this node, do not. */
+/** Checks if an error counts against the peer's health. Others, such as a full queue of this node, do not. */
 function isMiss(kind: PeerErrorKind): boolean {
     return kind === PeerErrorKind.TimedOut || kind === PeerErrorKind.Unreachable;
 }
--- a/src/process/membership/isConfigurationWatcher.ts
+++ b/src/process/membership/isConfigurationWatcher.ts
@@ -5,7 +5,7 @@
 const defaultWatcherCount = 3;
 
 /**
- * Gets if a node watches the configuration in the platform's key-value store. Only a few nodes do, because each open watch
+ * Checks if a node watches the configuration in the platform's key-value store. Only a few nodes do, because each open watch
  * counts as a store call. The others receive changes from them.
  * @param nodeId - Id of the node.
  * @param members - Members to choose the watchers from.
--- a/src/process/membership/memberTimers.ts
+++ b/src/process/membership/memberTimers.ts
@@ -53,7 +53,7 @@
         times.removeAt = current.state === MemberState.Dead ? now + this.deadRetentionMilliseconds : undefined;
     }
 
-    /** Gets if a miss by this node is ignored because other nodes have recently shown that the member is alive. */
+    /** Checks if a miss by this node is ignored because other nodes have recently shown that the member is alive. */
     isMissIgnored(nodeId: string, now: number): boolean {
         const until = this.times.get(nodeId)?.missesIgnoredUntil;
         return until !== undefined && now < until;
--- a/src/process/membership/seedList.ts
+++ b/src/process/membership/seedList.ts
@@ -57,7 +57,7 @@
         return [...this.vms.values()].map(record => record.address).filter(address => !known.has(address));
     }
 
-    /** Gets if a member may be alive according to the list. Always true while the list is empty. */
+    /** Checks if a member may be alive according to the list. Always true while the list is empty. */
     mayBeAlive(member: Member): boolean {
         if (this.vms.size === 0) {
             return true;
--- a/src/process/nodeLifecycle.ts
+++ b/src/process/nodeLifecycle.ts
@@ -3,13 +3,13 @@
 /** Options of a {@link NodeLifecycle}. */
 interface NodeLifecycleOptions {
     clock: Clock;
-    /** Gets if a configuration is in force. */
+    /** Checks if a configuration is in force. */
     hasConfiguration(): boolean;
     /** Gets the monotonic time of the last response from the store, in milliseconds; undefined before the first. */
     getStoreContact(): number | undefined;
     /** Gets the monotonic time of the last exchange with a peer, in milliseconds; undefined before the first. */
     getPeerContact(): number | undefined;
-    /** Gets if other nodes are known, alive or not. */
+    /** Checks if other nodes are known, alive or not. */
     hasKnownPeers(): boolean;
 }
 
@@ -64,14 +64,14 @@
         return undefined;
     }
 
-    /** Gets if the platform's load balancer should send requests to this node. */
+    /** Checks if the platform's load balancer should send requests to this node. */
     getReadiness(): { ready: boolean; reason: string; } {
         const refusal = this.getRefusal();
         return refusal === undefined ? { ready: true, reason: "Ready." } : { ready: false, reason: refusal.message };
     }
 
     /**
-     * Gets if neither the store nor a peer has responded within the timeout. A single node without known peers is never
+     * Checks if neither the store nor a peer has responded within the timeout. A single node without known peers is never
      * isolated, so that it continues when the store is down: no newer version can be accepted without the store, and no
      * other node could serve its callers.
      */
--- a/src/process/orders/layerCoverage.ts
+++ b/src/process/orders/layerCoverage.ts
@@ -40,7 +40,7 @@
         return this.holders.get(model)?.[layer]?.size ?? 0;
     }
 
-    /** Gets if an engine is the only holder of any layer of a model other than the given one. */
+    /** Checks if an engine is the only holder of any layer of a model other than the given one. */
     isSoleHolderOfOtherModel({ endpoint, layers }: ObservedEngine, model: string): boolean {
         for (const range of layers) {
             for (const holders of range.model === model ? [] : this.getHolderSets(range)) {
--- a/src/process/orders/loadRecord.ts
+++ b/src/process/orders/loadRecord.ts
@@ -30,7 +30,7 @@
         return new LoadRecord(store);
     }
 
-    /** Gets if the revision is known, so that a write needs no read before it. */
+    /** Checks if the revision is known, so that a write needs no read before it. */
     isRevisionKnown(): boolean {
         return this.revision !== undefined;
     }
--- a/src/process/orders/orderDispatcherOptions.ts
+++ b/src/process/orders/orderDispatcherOptions.ts
@@ -29,7 +29,7 @@
     /** Reads an engine's status from the engine itself; undefined if the engine does not exist. */
     getStatus(endpoint: string): Promise<Result<EngineStatus, { message: string; }>> | undefined;
     /**
-     * Gets if this node is the first owner of the duty to issue orders. A wrong answer only causes a delay, since the
+     * Checks if this node is the first owner of the duty to issue orders. A wrong answer only causes a delay, since the
      * lease decides who may send orders.
      */
     isDutyOwner(): boolean;
--- a/src/process/orders/orderReconciler.ts
+++ b/src/process/orders/orderReconciler.ts
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Reads the record after a failed write, and once for each new fencing number to restore its loads. Returns if the
+     * Reads the record after a failed write, and once for each new fencing number to restore its loads. Returns whether the
      * lease is held and the revision of the record is known.
      */
     private async readRecord(): Promise<boolean> {
--- a/src/process/placement/endpointStabilityTracker.ts
+++ b/src/process/placement/endpointStabilityTracker.ts
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Records the endpoints of a service and gets if they are stable.
+     * Records the endpoints of a service and returns whether they are stable.
      * @param service - Name of the service.
      * @param endpoints - Endpoints that are not draining.
      * @param now - Monotonic time in milliseconds.
--- a/src/process/placement/layerOrderTracker.ts
+++ b/src/process/placement/layerOrderTracker.ts
@@ -69,7 +69,7 @@
         return this.refusedFencingNumber;
     }
 
-    /** Gets if any order has no result yet. */
+    /** Checks if any order has no result yet. */
     hasPending(): boolean {
         return this.pending.size > 0;
     }
@@ -84,7 +84,7 @@
         return this.pending.get(endpointId)?.layers;
     }
 
-    /** Gets if an endpoint must not be given an order now. */
+    /** Checks if an endpoint must not be given an order now. */
     isBusy(endpointId: string, now: number): boolean {
         return this.pending.has(endpointId) || (this.busyUntil.get(endpointId) ?? 0) > now;
     }
--- a/src/process/placement/placementController.ts
+++ b/src/process/placement/placementController.ts
@@ -25,9 +25,9 @@
 interface PlacementControllerOptions {
     store: Pick<PlatformStore, "get" | "compareAndSwap">;
     lease: Pick<FencedLease, "getFencingNumber" | "getLastNumber">;
-    /** Gets if this node can reach the store. */
+    /** Checks if this node can reach the store. */
     isStoreAnswering(): boolean;
-    /** Gets if this node would try to acquire the lease when orders are due. */
+    /** Checks if this node would try to acquire the lease when orders are due. */
     isCandidate(): boolean;
     clock: Clock;
     /** Runs a synchronous task that may take long; see `LoopWatch.run`. */
@@ -102,7 +102,7 @@
         this.timer = undefined;
     }
 
-    /** Gets if orders are due or pending, as of the last check of a candidate or the lease holder. */
+    /** Checks if orders are due or pending, as of the last check of a candidate or the lease holder. */
     hasWork(): boolean {
         return this.isWorkDue;
     }
--- a/src/process/platform/etcdStore.ts
+++ b/src/process/platform/etcdStore.ts
@@ -28,8 +28,9 @@
     /** Timeout of a call, in milliseconds. */
     timeoutMilliseconds: number;
     /**
-     * Time without an event or a progress notification after which a watch counts as broken, in milliseconds. Defaults to 5,000. The
-     * service must send progress notifications more often, or idle watches are reopened after this time.
+     * Time without an event or a progress notification after which the store closes a watch, in milliseconds. Defaults to
+     * 5,000. The service must send progress notifications more often. Otherwise idle watches are closed after this time, and
+     * the caller has to open new ones.
      */
     watchSilenceMilliseconds?: number;
     /** Clock for the timeouts. Defaults to the system clock. */
@@ -67,13 +68,14 @@
         return answer.map(range => range.kvs[0]);
     }
 
-    /** Reads a page of the keys that start with a prefix. */
+    /** Reads a page of the keys that start with a prefix; an empty prefix stands for all keys. */
     async list(
         prefix: string,
         fromKey: string | undefined,
         limit: number,
     ): Promise<Result<StoredPage, PlatformError>> {
         const answer = await this.callRange({
+            // etcd rejects an empty key. The lowest key that it accepts is a zero byte.
             key: encode(fromKey ?? prefix) || encode("\0"),
             range_end: getPrefixEnd(Buffer.from(prefix, "utf8")).toString("base64"),
             limit: String(limit),
@@ -105,7 +107,7 @@
         );
     }
 
-    /** Creates a lease. Its time to live is rounded up to whole seconds. */
+    /** Creates a lease. Its time to live is rounded up to whole seconds and is at least one second. */
     async grantLease(timeToLiveMilliseconds: number): Promise<Result<string, PlatformError>> {
         const seconds = Math.max(1, Math.ceil(timeToLiveMilliseconds / millisecondsPerSecond));
         const answer = await this.callWrite("/v3/lease/grant", etcdSchemas.leaseGrant, { TTL: String(seconds) });
--- a/src/request/admission/admission.ts
+++ b/src/request/admission/admission.ts
@@ -10,12 +10,17 @@
 import { ServiceGate } from "./serviceGate.ts";
 import { Waiter } from "./waiter.ts";
 
-/** Maximum fraction of the node's queue that one customer may occupy. */
+/**
+ * Maximum number of one customer's entries in the queue of one gate, as a fraction of the node's maximum number of queued
+ * requests.
+ */
 const maximumCustomerQueueFraction = 0.5;
 
 /**
- * Admission control: decides which requests run, wait or are refused. A refused request has not run, since nothing is
- * sent to an endpoint before the ticket is issued.
+ * Admission control: decides which requests run, wait or are refused. Each request passes one gate, the concurrency limit
+ * and the queue in front of a set of endpoints; `getGateName` gets the name of a service's gate. An admitted request gets a
+ * ticket, the right to run. A refused request has not run, since nothing is sent to an endpoint before the ticket is
+ * issued.
  */
 export class Admission {
     private readonly gates = new Map<string, ServiceGate<Waiter>>();
@@ -26,7 +31,7 @@
         this.options = options;
     }
 
-    /** Creates an admission without running or waiting requests. */
+    /** Creates an instance without running or waiting requests. */
     static create(options: AdmissionOptions): Admission {
         return new Admission(options);
     }
@@ -40,7 +45,7 @@
         return count;
     }
 
-    /** Gets the load of each gate that has been used, in requests. */
+    /** Gets the numbers of running and waiting requests and the concurrency limit of each gate that has been used. */
     getGateLoads(): { gate: string; running: number; waiting: number; limit: number; }[] {
         return [...this.gates].map(([name, gate]) => ({
             gate: name,
@@ -84,7 +89,11 @@
         }
     }
 
-    /** Records that an engine refused an admitted request for lack of memory; call it before releasing the ticket. */
+    /**
+     * Lowers the concurrency limit of a gate after an engine refused an admitted request for lack of memory. Call it before
+     * releasing the ticket: the new limit is computed from the number of running requests, which has to include the
+     * refused one.
+     */
     observeRefusal(gateName: string): void {
         this.getGate(gateName).observeRefusal(this.options.clock.getMonotonicTime());
     }
@@ -150,6 +159,11 @@
         waiter.entry = gate.queue.enqueue({ item: waiter, customer, weight: this.getWeight(customer), cost });
     }
 
+    /**
+     * Gets the entry to evict from the gate's queue in favour of a new request: the newest entry of the customer with the
+     * highest waiting cost relative to its weight. Undefined if no customer's cost is higher than that of the request's
+     * customer would be with the request.
+     */
     private getEntryToEvict(gate: ServiceGate<Waiter>, request: AdmissionRequest): QueueEntry<Waiter> | undefined {
         const { customer, cost } = request;
         return gate.queue.getEntryToEvict({ customer, cost, weight: this.getWeight(customer) });
@@ -159,6 +173,10 @@
         return now + Math.max(0, this.getGate(request.gate).getAllowedWait(request, this.maximumWait, now));
     }
 
+    /**
+     * Sets the timer that refuses a waiting request after its latest start, and installs the abort listener that refuses it
+     * when its caller disconnects.
+     */
     private limitWait(waiter: Waiter, now: number): void {
         const { clock } = this.options;
         const gate = this.getGate(waiter.request.gate);
--- a/src/request/admission/admissionTicket.ts
+++ b/src/request/admission/admissionTicket.ts
@@ -11,7 +11,10 @@
     onRelease: (tokens: number) => void;
 }
 
-/** The right to run one request. The holder has to release it when the run has ended, also after an error. */
+/**
+ * The right to run one request. It occupies a slot of its gate's concurrency limit until it is released, which its owner has
+ * to do when the run has ended, also after an error.
+ */
 export class AdmissionTicket {
     readonly customer: string;
     /** Name of the gate whose slot it holds. */
--- a/src/request/admission/customerDemand.ts
+++ b/src/request/admission/customerDemand.ts
@@ -1,4 +1,4 @@
-/** Request rate of one customer at one node. */
+/** Request rate of one customer at one node, which the nodes send to each other as a demand record. */
 export interface CustomerDemand {
     customer: string;
     requestsPerSecond: number;
--- a/src/request/admission/fairQueue.ts
+++ b/src/request/admission/fairQueue.ts
@@ -88,7 +88,7 @@
         return entry;
     }
 
-    /** Gets whether the next customer has already used its fair share and its burst allowance. */
+    /** Checks if the next customer has already used its fair share and its burst allowance. */
     isNextOverShare(): boolean {
         const queue = this.getNextCustomer();
         return queue !== undefined && queue.startTag > this.virtualTime;
--- a/src/request/admission/serviceGate.ts
+++ b/src/request/admission/serviceGate.ts
@@ -32,8 +32,8 @@
 }
 
 /**
- * Admission control for the services that share endpoints: concurrency limit, fair queue and drain rate. Does no I/O and
- * sets no timers.
+ * The gate in front of the endpoints that one or more services share: their concurrency limit, the fair queue of the
+ * requests that wait for a slot, and its drain rate. Does no I/O and sets no timers.
  */
 export class ServiceGate<T> {
     readonly queue = FairQueue.create<T>();
@@ -68,7 +68,7 @@
         return this.adaptiveLimit.getLimit(this.getUpperLimit());
     }
 
-    /** Gets whether the queue is empty and a slot is free. */
+    /** Checks if the queue is empty and a slot is free. */
     isOpen(): boolean {
         return this.queue.waitingCount === 0 && this.runningCount < this.getLimit();
     }
@@ -181,7 +181,7 @@
         this.adaptiveLimit.observeRefusal(this.runningCount, meanRunMilliseconds, now);
     }
 
-    /** Gets whether a new request of a customer would wait longer than allowed; the time is in milliseconds. */
+    /** Checks if a new request of a customer would wait longer than allowed; the time is in milliseconds. */
     private exceedsAllowedWait(customer: string, allowed: number): boolean {
         const rate = this.getDrainRate();
         if (allowed < 0 || rate === undefined || rate <= 0) {
--- a/src/request/admission/start/retryDetector.ts
+++ b/src/request/admission/start/retryDetector.ts
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Records the deadline of a request and gets whether the request is probably a retry.
+     * Records the deadline of a request and returns whether the request is probably a retry.
      * @param route - Name of the route.
      * @param deadlineMilliseconds - Time that the caller will wait for the answer; undefined if it sent none.
      * @param now - Monotonic time in milliseconds.
--- a/src/request/admission/start/startRequest.ts
+++ b/src/request/admission/start/startRequest.ts
@@ -13,7 +13,7 @@
     maximumRetryMilliseconds: number;
     /** Finds and reserves the capacity that it needs to run; undefined if there is not enough. */
     tryReserve(): Place | undefined;
-    /** Gets whether the endpoints could serve it if nothing else were running. */
+    /** Checks if the endpoints could serve it if nothing else were running. */
     isServable(): boolean;
     /**
      * Gets the retry delay in milliseconds if only the rate limits that endpoints declare keep it from starting, in which case
--- a/src/request/chain/areLayerRangesEqual.ts
+++ b/src/request/chain/areLayerRangesEqual.ts
@@ -1,6 +1,6 @@
 import type { LayerRange } from "../../version/configuration.ts";
 
-/** Gets if two lists contain the same ranges in the same order. Returns early if both are the same array. */
+/** Checks if two lists contain the same ranges in the same order. Returns early if both are the same array. */
 export function areLayerRangesEqual(first: readonly LayerRange[], second: readonly LayerRange[]): boolean {
     return first === second || first.length === second.length && first.every((range, index) => {
                 const other = second[index];
--- a/src/request/chain/chainFleet.ts
+++ b/src/request/chain/chainFleet.ts
@@ -150,7 +150,7 @@
         record.layers = layers;
     }
 
-    /** Gets if an endpoint's layers differ from its record. False for an endpoint without a state. */
+    /** Checks if an endpoint's layers differ from its record. False for an endpoint without a state. */
     private hasChangedLayers(record: EndpointRecord): boolean {
         const state = this.options.getEndpointState(record.name);
         return state !== undefined && !areLayerRangesEqual(state.layers, record.layers);
--- a/src/request/chain/flow/maximumFlow.ts
+++ b/src/request/chain/flow/maximumFlow.ts
@@ -73,7 +73,7 @@
         return this.residualCapacities[edge ^ 1] ?? 0;
     }
 
-    /** Gets if a vertex is on the source's side of the minimum cut that the last run found. */
+    /** Checks if a vertex is on the source's side of the minimum cut that the last run found. */
     isOnSourceSide(vertex: number): boolean {
         return (this.levels[vertex] ?? -1) >= 0;
     }
--- a/src/request/chain/layeredGraph.ts
+++ b/src/request/chain/layeredGraph.ts
@@ -8,13 +8,14 @@
 }
 
 /**
- * The layered graph of one model. Its vertices are the layer boundaries: the starts and ends of all held ranges.
- * The layers between two adjacent boundaries form an interval. A stage consists of consecutive intervals on one holder,
+ * The layered graph of one model. Its vertices are the layer boundaries: 0, the model's number of layers, and the starts and
+ * ends of all held ranges. The layers between two adjacent boundaries form an interval. A stage consists of consecutive intervals on one holder,
  * so an endpoint that holds layers 0 to 16 may serve layers 4 to 16 if 4 is a boundary. The graph is immutable.
  */
 export class LayeredGraph {
     /** Layer numbers in ascending order, from 0 to the model's number of layers. */
     readonly boundaries: readonly number[];
+    /** Holders in ascending order of endpoint name and first layer. A holder's index is its index in this array. */
     readonly holders: readonly LayerHolder[];
     /** Indices of the holders of each interval. */
     readonly holderIndicesByInterval: readonly (readonly number[])[];
@@ -32,7 +33,8 @@
     /**
      * Creates the graph.
      * @param layers - Number of layers of the model.
-     * @param ranges - Ranges that the endpoints hold, in any order. Ranges of one endpoint may be adjacent or overlap.
+     * @param ranges - Ranges that the endpoints hold, in any order. Parts outside the model's layers are ignored.
+     * Adjacent or overlapping ranges of one endpoint are merged into one holder.
      */
     static create(layers: number, ranges: readonly HeldRange[]): LayeredGraph {
         const merged = mergeRanges(layers, ranges);
@@ -53,14 +55,17 @@
         return this.boundaries.length - 1;
     }
 
-    /** Gets the layer number at a boundary. */
+    /**
+     * Gets the layer number at a boundary.
+     * @param boundary - Index in {@link LayeredGraph.boundaries}. The boundary with an interval's index is its start.
+     */
     getLayer(boundary: number): number {
         return this.boundaries[boundary] ?? 0;
     }
 
     /**
      * Finds the first layer without a usable holder.
-     * @param isUsable - Gets if the holder with the given index may be used.
+     * @param isUsable - Checks if the holder with the given index in {@link LayeredGraph.holders} may be used.
      * @returns The layer, or undefined if there is no such layer.
      */
     findMissingLayer(isUsable: (holder: number) => boolean): number | undefined {
--- a/src/request/chain/modelHolders.ts
+++ b/src/request/chain/modelHolders.ts
@@ -76,7 +76,7 @@
         return new ModelHolders(options);
     }
 
-    /** Gets if a holder's endpoint is serving, is not excluded, and still holds the layers in the graph. */
+    /** Checks if a holder's endpoint is serving, is not excluded, and still holds the layers in the graph. */
     isUsable(index: number, excluded: ReadonlySet<string>): boolean {
         const { layers, name } = this.records[index] as EndpointRecord;
         const state = this.options.getEndpointState(name);
--- a/src/request/model/chainSelection.ts
+++ b/src/request/model/chainSelection.ts
@@ -37,7 +37,7 @@
         return this.choose(positions, this.excluded);
     }
 
-    /** Gets if any endpoint is excluded. */
+    /** Checks if any endpoint is excluded. */
     hasExclusions(): boolean {
         return this.excluded.size > 0;
     }
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Gets if the answer should replace a slow stage, and counts the replacement. Returns false if no other chain
+     * Checks if the answer should replace a slow stage, and counts the replacement. Returns false if no other chain
      * exists or the maximum number of replacements is reached.
      * @param endpoint - Endpoint of the stage.
      */
--- a/src/request/notRunPermit.ts
+++ b/src/request/notRunPermit.ts
@@ -25,7 +25,7 @@
         this.isHeld = true;
     }
 
-    /** Gets whether the request has certainly not run. */
+    /** Checks if the request has certainly not run. */
     isAvailable(): boolean {
         return this.isHeld;
     }
--- a/src/request/relay/attemptLimit.ts
+++ b/src/request/relay/attemptLimit.ts
@@ -44,7 +44,7 @@
         this.possibleRuns.add(endpointId);
     }
 
-    /** Gets if the request may be sent to another first stage. */
+    /** Checks if the request may be sent to another first stage. */
     mayAttemptAgain(): boolean {
         if (this.attemptCount >= hardAttemptLimit || this.refusalCount > maximumRefusals) {
             return false;
--- a/src/request/relay/documentRelay.ts
+++ b/src/request/relay/documentRelay.ts
@@ -131,7 +131,7 @@
         this.send(attempt);
     }
 
-    /** Gets if the request is quarantined. If so, refuses it unless an endpoint still runs it. */
+    /** Checks if the request is quarantined. If so, refuses it unless an endpoint still runs it. */
     private refuseIfQuarantined(cause: string): boolean {
         const hold = this.quarantine.getHold();
         if (hold !== undefined) {
--- a/src/request/relay/endpointHealth.ts
+++ b/src/request/relay/endpointHealth.ts
@@ -52,7 +52,7 @@
         return new EndpointHealth(random() * maximumRefusalJitterMilliseconds);
     }
 
-    /** Gets if new requests should avoid the endpoint, because it is considered unavailable or refuses them. */
+    /** Checks if new requests should avoid the endpoint, because it is considered unavailable or refuses them. */
     isSuspect(endpointId: string, now: number): boolean {
         const record = this.records.get(endpointId);
         return record !== undefined
--- a/src/request/relay/eventSplitter.ts
+++ b/src/request/relay/eventSplitter.ts
@@ -27,7 +27,7 @@
         return events;
     }
 
-    /** Gets if there are bytes of an incomplete event. */
+    /** Checks if there are bytes of an incomplete event. */
     hasIncompleteEvent(): boolean {
         return this.incompleteEvent.length > 0;
     }
--- a/src/request/relay/forwardingContext.ts
+++ b/src/request/relay/forwardingContext.ts
@@ -5,11 +5,11 @@
 export interface ForwardingContext {
     /** The intended endpoint; any other endpoint refuses the request. */
     endpoint: RegisteredEndpoint;
-    /** Name of the customer that owns the request's API key. */
+    /** Name of the customer that owns the request's API key; undefined if the request has no known key. */
     customer: string | undefined;
     /** Remaining time for the answer, in milliseconds. */
     remainingMilliseconds: number;
-    /** The chain that runs the request; undefined for a document service. */
+    /** Stages of the chain that runs the request, in order; undefined for a document service. */
     stages?: RelayStage[];
     /** Id of the last event that the caller has received; 0 if none. */
     lastEventId: number;
--- a/src/request/relay/isRefusalLasting.ts
+++ b/src/request/relay/isRefusalLasting.ts
@@ -2,7 +2,7 @@
 import { fullMemoryFraction } from "./fullMemoryFraction.ts";
 
 /**
- * Gets if an endpoint that has refused a request will also refuse the next ones, because it is leaving, unloads its layers or
+ * Checks if an endpoint that has refused a request will also refuse the next ones, because it is leaving, unloads its layers or
  * is down. A full endpoint accepts requests again as soon as memory is free, which would go unused if all nodes avoided it.
  * @param report - The endpoint's report; undefined if it doesn't answer.
  */
--- a/src/request/relay/limits/endpointLimits.ts
+++ b/src/request/relay/limits/endpointLimits.ts
@@ -133,7 +133,7 @@
         rate.observe(now);
     }
 
-    /** Gets if the endpoint currently has a limit. */
+    /** Checks if the endpoint currently has a limit. */
     isLimited(endpointId: string): boolean {
         return this.limits.get(endpointId)?.requestsPerSecond !== undefined;
     }
--- a/src/request/relay/quarantine/suspectedCrash.ts
+++ b/src/request/relay/quarantine/suspectedCrash.ts
@@ -2,7 +2,11 @@
 export interface SuspectedCrash {
     /** Identifies the request independently of the node that forwards it; see `fingerprintRequest`. */
     fingerprint: string;
+    /** Id of the endpoint, which is new with each of its starts; see `RegisteredEndpoint`. */
     endpointId: string;
-    /** Monotonic time at which the connection broke, in milliseconds. */
+    /**
+     * Monotonic time of this node at which the connection broke, in milliseconds. Computed from the crash's age if a peer
+     * reported it or it was read from the store.
+     */
     at: number;
 }
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -153,7 +153,7 @@
     }
 
     /**
-     * Gets if an idle system would have a chain for the request. Also true while no endpoint is known, since their list may not have
+     * Checks if an idle system would have a chain for the request. Also true while no endpoint is known, since their list may not have
      * arrived yet.
      */
     hasChain(avoid: ReadonlySet<string>): boolean {
--- a/src/request/relay/relayQueue.ts
+++ b/src/request/relay/relayQueue.ts
@@ -98,7 +98,7 @@
         this.contendedAt = this.getTime();
     }
 
-    /** Gets if nodes contend for room, because requests had to wait recently or room was becoming scarce. */
+    /** Checks if nodes contend for room, because requests had to wait recently or room was becoming scarce. */
     isContended(): boolean {
         return this.getTime() - this.contendedAt < contentionMilliseconds;
     }
--- a/src/request/relay/relayTransport.ts
+++ b/src/request/relay/relayTransport.ts
@@ -6,7 +6,7 @@
 export interface RelayTransport {
     /** Gets the connection pool of an address (host:port). */
     getPool(address: string): {
-        /** Gets if a connection is open and idle. */
+        /** Checks if a connection is open and idle. */
         hasIdle(): boolean;
         /** Sends a caller's request once all pending input of the node is read, unless it is aborted by then. It is created when sent. */
         sendForCaller(
--- a/src/request/relay/stageQuery.ts
+++ b/src/request/relay/stageQuery.ts
@@ -18,7 +18,7 @@
     getCrossingDelay(from: string, to: string): number;
     /** Gets how long this node's share of the link from one data centre to another stays occupied, in milliseconds. */
     getLinkWait(from: string, to: string): number;
-    /** Gets if a connection to an endpoint's address is open and idle. */
+    /** Checks if a connection to an endpoint's address is open and idle. */
     isConnected(address: string): boolean;
     /** First stage of the chain, if a running request moves to another chain. */
     firstStage?: RelayStage;
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -115,7 +115,7 @@
         return this.attempt?.sentAt;
     }
 
-    /** Gets if the chain in use has sent an event. */
+    /** Checks if the chain in use has sent an event. */
     hasEvents(): boolean {
         return this.attempt?.firstEventAt !== undefined;
     }
--- a/src/version/decideApply.ts
+++ b/src/version/decideApply.ts
@@ -50,7 +50,7 @@
     return encodeNext(edit, edits, wallTime);
 }
 
-/** Gets if the claim parameters differ. A key's shard and slot depend on them, so a change would hide claims that are still valid. */
+/** Checks if the claim parameters differ. A key's shard and slot depend on them, so a change would hide claims that are still valid. */
 function hasChangedClaims(currentText: string, nextText: string): boolean {
     const current = parseConfiguration(currentText);
     const next = parseConfiguration(nextText);
--- a/src/version/routing/routingState.ts
+++ b/src/version/routing/routingState.ts
@@ -41,7 +41,7 @@
         return customer === undefined ? undefined : this.rankByCustomer.get(customer);
     }
 
-    /** Gets if requests need an API key unless their route is public. */
+    /** Checks if requests need an API key unless their route is public. */
     needsKey(): boolean {
         return this.configuration.customers.length > 0;
     }
--- a/src/version/storedConfigurationHandler.ts
+++ b/src/version/storedConfigurationHandler.ts
@@ -67,7 +67,7 @@
         return this.readsBehind >= minimumReadsBehind;
     }
 
-    /** Gets if the last read returned a lower version than the one in force. */
+    /** Checks if the last read returned a lower version than the one in force. */
     isBehind(): boolean {
         return this.readsBehind > 0;
     }
