--- a/bench/capacity/measureReportSpread.ts
+++ b/bench/capacity/measureReportPropagation.ts
@@ -1,9 +1,9 @@
 import { type EndpointReport, EndpointReports } from "../../src/connection/endpoint/endpointReports.ts";
+import { maximumFullRateNodes } from "../../src/process/membership/maximumFullRateNodes.ts";
 import { PeerRotation } from "../../src/process/membership/peerRotation.ts";
-import { unstretchedNodes } from "../../src/process/membership/unstretchedNodes.ts";
 import { createSeededRandom } from "../../tests/support/createSeededRandom.ts";
-import { letterSize } from "./letterSize.ts";
-import type { ReportSpread } from "./reportSpread.ts";
+import { designSize } from "./designSize.ts";
+import type { ReportPropagation } from "./reportPropagation.ts";
 
 const roundMilliseconds = 500;
 /** A small deployment, fractions of the design size and the full design size. Up to nine nodes contact all their peers. */
@@ -11,7 +11,7 @@
     { nodeCount: 9, engines: 30, fanOut: 8 },
     { nodeCount: 34, engines: 120, fanOut: 3 },
     { nodeCount: 102, engines: 360, fanOut: 3 },
-    { nodeCount: letterSize.nodes, engines: letterSize.runners, fanOut: 3 },
+    { nodeCount: designSize.nodes, engines: designSize.runners, fanOut: 3 },
 ];
 /**
  * What nodes know at the start: nothing, as all nodes start at the same time; every engine; or every engine, of which a
@@ -24,7 +24,7 @@
 const requestBudgetBytes = 128;
 const responseBudgetBytes = 256;
 const observersPerEngine = 3;
-/** Interval at which an observer repeats an unchanged state in a cluster of up to `unstretchedNodes` nodes. */
+/** Interval at which an observer repeats an unchanged state in a cluster of up to `maximumFullRateNodes` nodes. */
 const baseRefreshMilliseconds = 5_000;
 const warmupMilliseconds = 10_000;
 const maximumMilliseconds = 16_000;
@@ -46,13 +46,13 @@
  * Measures how old the records of the nodes are, and how long it takes until all nodes know that an engine is leaving.
  * The queues of the engines are idle, so that observers only send periodic refreshes and these changes of state.
  */
-export function measureReportSpread(): ReportSpread[] {
+export function measureReportPropagation(): ReportPropagation[] {
     return cases.map(measurePropagation);
 }
 
-function measurePropagation({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportSpread {
+function measurePropagation({ nodeCount, engines, fanOut, before }: typeof cases[number]): ReportPropagation {
     const random = createSeededRandom(seed);
-    const refreshMilliseconds = baseRefreshMilliseconds * Math.max(1, nodeCount / unstretchedNodes);
+    const refreshMilliseconds = baseRefreshMilliseconds * Math.max(1, nodeCount / maximumFullRateNodes);
     const nodes: ReportNode[] = Array.from({ length: nodeCount }, () => ({
         reports: EndpointReports.create(() => nodeCount),
         rotation: PeerRotation.create(random),
@@ -119,7 +119,7 @@
 function runRound(nodes: readonly ReportNode[], names: readonly string[], fanOut: number): void {
     for (const [index, node] of nodes.entries()) {
         const peers = names.filter(name => name !== String(index));
-        for (const name of node.rotation.take(peers, fanOut)) {
+        for (const name of node.rotation.select(peers, fanOut)) {
             const peer = nodes[Number(name)]!;
             for (const report of node.reports.collect(requestBudgetBytes)) {
                 applyReport(peer, report);
--- a/bench/experiment/experiment.ts
+++ b/bench/experiment/experiment.ts
@@ -41,8 +41,8 @@
     kind: RequestKind.Stream,
     services: [{ service: serviceName, weight: 1 }],
     timeoutMilliseconds: 20_000,
-    objectiveMilliseconds: 500,
-    maximumGapMilliseconds: 200,
+    targetLatencyMilliseconds: 500,
+    maximumEventGapMilliseconds: 200,
     maximumAttempts: 2,
     priority: 1,
     isPublic: true,
@@ -133,7 +133,7 @@
     private send(request: SimulatedRequest, attempt: number, deadlineMilliseconds: number, sink: AnswerSink): void {
         const { environment } = this.nodes[Math.floor(this.random() * this.nodes.length)]!;
         const now = this.clock.getMonotonicTime();
-        const isReturn = environment.deadlines.note(route.name, deadlineMilliseconds, now);
+        const isReturn = environment.deadlines.observeRequest(route.name, deadlineMilliseconds, now);
         const task = {
             request: {
                 id: `${request.id}-${attempt}`,
@@ -147,7 +147,7 @@
                 deadlineMilliseconds,
                 lastEventId: 0,
                 promptTokens: request.promptTokens,
-                maximumAnswerTokens: 3 * experimentModel.usualAnswerTokens,
+                maximumAnswerTokens: 3 * experimentModel.typicalAnswerTokens,
                 expectedAnswerTokens: request.expectedAnswerTokens,
             },
             route,
@@ -160,7 +160,7 @@
             isReturn,
             dueAt: now + deadlineMilliseconds,
         };
-        environment.repeats.observeRequest();
+        environment.retryBudget.observeRequest();
         StreamRelay.create(environment, task, experimentModel, () => undefined).start();
     }
 
@@ -197,7 +197,7 @@
             this.clock.setTimer(from * secondMilliseconds, () => {
                 for (const engine of affectedEngines) {
                     engine.slowness = kind === "slow" ? factor : 1;
-                    engine.cutNodes = kind === "cut" ? disconnectedNodes : new Set();
+                    engine.disconnectedNodes = kind === "cut" ? disconnectedNodes : new Set();
                     if (kind === "lost") {
                         this.simulation.loseEngine(engine);
                     }
@@ -206,7 +206,7 @@
             this.clock.setTimer(to * secondMilliseconds, () => {
                 for (const engine of affectedEngines) {
                     engine.slowness = 1;
-                    engine.cutNodes = new Set();
+                    engine.disconnectedNodes = new Set();
                     engine.isLost = false;
                 }
             });
--- a/bench/experiment/simulatedCaller.ts
+++ b/bench/experiment/simulatedCaller.ts
@@ -72,7 +72,7 @@
             write: () => isCurrent() && this.handleEvent(() => close()),
             end: () => isCurrent() && this.end(this.meetsObjectives() ? "inAim" : "late"),
             refuse: refusal => isCurrent() && this.handleRefusal(refusal),
-            cut: () => isCurrent() && this.end("failed"),
+            abort: () => isCurrent() && this.end("failed"),
         });
     }
 
@@ -97,7 +97,7 @@
             this.end(retryAfterMilliseconds === undefined ? "failed" : "refused");
             return;
         }
-        const isImpatient = random() < request.impatientPart;
+        const isImpatient = random() < request.immediateRetryProbability;
         const maximumDelay = (this.deadlineAt - clock.getMonotonicTime()) * maximumRetryDelayFraction;
         this.timer?.cancel();
         this.timer = clock.setTimer(
--- a/bench/experiment/simulatedEngine.ts
+++ b/bench/experiment/simulatedEngine.ts
@@ -1,4 +1,4 @@
-import { estimatePrefill } from "../../src/request/relay/estimatePrefill.ts";
+import { estimatePrefillTime } from "../../src/request/relay/estimatePrefillTime.ts";
 import { getMeanContext } from "../../src/request/relay/getMeanContext.ts";
 import { getRequestMemory } from "../../src/request/relay/getRequestMemory.ts";
 import type { HeldLayers } from "../../src/request/relay/heldLayers.ts";
@@ -19,7 +19,7 @@
     isLost = false;
     slowness = 1;
     /** Indexes of the nodes that can't reach the engine. */
-    cutNodes: ReadonlySet<number> = new Set();
+    disconnectedNodes: ReadonlySet<number> = new Set();
     private readonly kind: AcceleratorKind;
     private prefillEndsAt = 0;
 
@@ -36,7 +36,7 @@
     }
 
     /** Gets if there is free memory for a number of tokens. */
-    hasRoom(tokens: number): boolean {
+    hasFreeMemory(tokens: number): boolean {
         return this.usedTokenLayers + this.getTokenLayers(tokens) <= this.totalTokenLayers;
     }
 
@@ -47,9 +47,9 @@
 
     /** Gets the time to generate one event, in milliseconds. An event has one token for each step of a pass. */
     getEventMilliseconds(): number {
-        const context = model.stepMillisecondsOfThousandTokens * getMeanContext(model) / 1_000;
-        const step = model.stepMilliseconds + this.runs.size * (model.stepMillisecondsOfRequest + context);
-        return model.stepsOfPass * step * this.kind.stepFactor * this.slowness * this.getLayerFraction();
+        const context = model.stepMillisecondsPerThousandTokens * getMeanContext(model) / 1_000;
+        const step = model.stepMilliseconds + this.runs.size * (model.stepMillisecondsPerRequest + context);
+        return model.stepsPerPass * step * this.kind.stepFactor * this.slowness * this.getLayerFraction();
     }
 
     /**
@@ -58,14 +58,14 @@
      * @param from - Time at which the prompt arrives, in milliseconds.
      * @returns Time at which the prefill ends, in milliseconds.
      */
-    readPrompt(tokens: number, from: number): number {
+    prefill(tokens: number, from: number): number {
         const work = {
             kind: this.kind,
             layers: this.layers.end - this.layers.start,
             requests: 0,
             slowness: this.slowness,
         };
-        this.prefillEndsAt = Math.max(from, this.prefillEndsAt) + estimatePrefill(model, work, tokens);
+        this.prefillEndsAt = Math.max(from, this.prefillEndsAt) + estimatePrefillTime(model, work, tokens);
         return this.prefillEndsAt;
     }
 
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -1,14 +1,14 @@
 import type { Clock } from "../../src/process/clock.ts";
 import type { RandomSource } from "../../src/process/randomSource.ts";
 import { RetryBudget } from "../../src/request/admission/retryBudget.ts";
-import { UsualDeadlines } from "../../src/request/admission/start/usualDeadlines.ts";
-import { CrossingDelays } from "../../src/request/relay/crossingDelays.ts";
+import { RetryDetector } from "../../src/request/admission/start/retryDetector.ts";
 import { EndpointHealth } from "../../src/request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../src/request/relay/endpointLoads.ts";
 import { FirstEventTimes } from "../../src/request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../src/request/relay/limits/endpointLimits.ts";
-import { PipeLoad } from "../../src/request/relay/pipeLoad.ts";
-import { PipeShares } from "../../src/request/relay/pipeShares.ts";
+import { LinkDelays } from "../../src/request/relay/linkDelays.ts";
+import { LinkPacer } from "../../src/request/relay/linkPacer.ts";
+import { LinkTraffic } from "../../src/request/relay/linkTraffic.ts";
 import { RequestQuarantine } from "../../src/request/relay/quarantine/requestQuarantine.ts";
 import type { RelayDirectory } from "../../src/request/relay/relayDirectory.ts";
 import type { RelayEnvironment } from "../../src/request/relay/relayEnvironment.ts";
@@ -46,11 +46,11 @@
         const log = { write: () => undefined };
         const queue = RelayQueue.create({ clock, random, log });
         const loads = EndpointLoads.create(() => queue.wake());
-        const deadlines = UsualDeadlines.create();
+        const deadlines = RetryDetector.create();
         const health = EndpointHealth.create();
         const quarantine = RequestQuarantine.create({
             log,
-            getAliveTime: endpointId => health.getAliveTime(endpointId),
+            getAliveTime: endpointId => health.getLastAliveTime(endpointId),
         });
         this.environment = {
             dataCentre,
@@ -75,13 +75,13 @@
                 chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
             }),
             quarantine,
-            repeats: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
+            retryBudget: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
             queue,
             firstEvents: FirstEventTimes.create(),
             deadlines,
-            crossings: CrossingDelays.create(),
-            pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => loads.getDemandPart(queue.getDemand(), nodeCount)),
+            crossingDelays: LinkDelays.create(),
+            linkTraffic: LinkTraffic.create(),
+            linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), nodeCount)),
             getNodeCount: () => nodeCount,
         };
         this.switchOffMechanisms(loads, deadlines, queue);
@@ -94,7 +94,7 @@
 
     /** Gets if the node gossips with more peers per round. */
     isBusy(): boolean {
-        return !this.without.has(Mechanism.News) && this.environment.queue.isBusy();
+        return !this.without.has(Mechanism.FastGossip) && this.environment.queue.isContended();
     }
 
     /** Exchanges state with a peer, in both directions. */
@@ -108,26 +108,26 @@
         const own = loads.getOwnLoads().map(load => ({ ...load }));
         peer.environment.loads.setPeerLoads(this.nodeId, own, queue.getDemand(), now);
         for (const suspicion of health.getSuspicions(now)) {
-            peer.environment.health.addSuspicion(suspicion, now);
+            peer.environment.health.applySuspicion(suspicion, now);
         }
-        for (const run of quarantine.getRuns(now)) {
-            peer.environment.quarantine.takeRun(run);
+        for (const run of quarantine.getCrashes(now)) {
+            peer.environment.quarantine.addPeerCrash(run);
         }
     }
 
-    private switchOffMechanisms(loads: EndpointLoads, deadlines: UsualDeadlines, queue: RelayQueue): void {
-        if (this.without.has(Mechanism.Room)) {
-            loads.getRoom = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
+    private switchOffMechanisms(loads: EndpointLoads, deadlines: RetryDetector, queue: RelayQueue): void {
+        if (this.without.has(Mechanism.MemoryLimit)) {
+            loads.getAvailableMemory = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
         }
-        if (this.without.has(Mechanism.Full)) {
-            loads.noteFull = (endpointId, now) => this.environment.health.addLoss(endpointId, now);
+        if (this.without.has(Mechanism.FullEndpoints)) {
+            loads.markFull = (endpointId, now) => this.environment.health.markUnavailable(endpointId, now);
         }
-        if (this.without.has(Mechanism.Returns)) {
-            deadlines.note = () => false;
+        if (this.without.has(Mechanism.RetryDetection)) {
+            deadlines.observeRequest = () => false;
         }
         if (this.without.has(Mechanism.Timeliness)) {
-            const { ask } = queue;
-            queue.ask = relay => ask.call(queue, { ...relay, timelyUntil: Infinity });
+            const { submit: ask } = queue;
+            queue.submit = relay => ask.call(queue, { ...relay, latestOnTimeStart: Infinity });
         }
     }
 }
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -38,8 +38,8 @@
     const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, records, size + fanOut);
     const rounds = Math.max(minimumRounds, Math.min(100, Math.floor(maximumContacts / size / Math.min(fanOut, size))));
     fleet.runRound();
-    const bytesBefore = fleet.bytes;
-    const messagesBefore = fleet.messages;
+    const bytesBefore = fleet.sentBytes;
+    const messagesBefore = fleet.sentMessages;
     const before = process.cpuUsage();
     for (let round = 0; round < rounds; round++) {
         fleet.runRound();
@@ -49,8 +49,8 @@
     return {
         size,
         // Each message is counted at its sender and at its receiver.
-        messageBytes: 2 * (fleet.bytes - bytesBefore) / nodeSeconds,
-        messages: 2 * (fleet.messages - messagesBefore) / nodeSeconds,
+        messageBytes: 2 * (fleet.sentBytes - bytesBefore) / nodeSeconds,
+        messages: 2 * (fleet.sentMessages - messagesBefore) / nodeSeconds,
         cpuMilliseconds: (user + system) / 1_000 / nodeSeconds,
     };
 }
@@ -99,7 +99,7 @@
 /** Prints how many rounds membership changes take to reach all nodes. */
 function measurePropagation(size: number, fanOut: number): void {
     const fleet = SimulatedFleet.create(size, fanOut, intervalMilliseconds, 0, size * fanOut);
-    const joinedNodeId = fleet.add(0).view.getSelf().nodeId;
+    const joinedNodeId = fleet.addNode(0).view.getSelf().nodeId;
     const joinRounds = fleet.runUntil(
         () => fleet.nodes.every(node => hasState(node, joinedNodeId, ["alive"])),
         maximumRounds,
@@ -138,7 +138,7 @@
 function printPulls(): void {
     for (const size of sizes) {
         const node = SimulatedFleet.create(size, 1, intervalMilliseconds, 0, 1).nodes[0] as SimulatedNode;
-        const response = toBinary(GossipResponseSchema, node.exchange.answer(node.exchange.createPull(), 0));
+        const response = toBinary(GossipResponseSchema, node.exchange.handleRequest(node.exchange.createPull(), 0));
         const rate = 2 * response.length / pullIntervalSeconds;
         console.log(
             `${size} members: full view ${response.length} B, one pull per minute ${rate.toFixed(0)} B/s per node`,
--- a/bench/membership/simulatedFleet.ts
+++ b/bench/membership/simulatedFleet.ts
@@ -20,9 +20,9 @@
 export class SimulatedFleet {
     readonly nodes: SimulatedNode[] = [];
     /** Total size of the messages sent so far, in bytes. */
-    bytes = 0;
+    sentBytes = 0;
     /** Number of messages sent so far. */
-    messages = 0;
+    sentMessages = 0;
     private readonly fanOut: number;
     private readonly random: () => number;
     private now = 0;
@@ -68,7 +68,7 @@
     }
 
     /** Adds a node that has pulled the full view. */
-    add(payloadRecords: number): SimulatedNode {
+    addNode(payloadRecords: number): SimulatedNode {
         const node = this.createNode(this.nodes.length, payloadRecords);
         this.nodes.push(node);
         this.pull(node);
@@ -120,7 +120,7 @@
     private contactPeers(node: SimulatedNode): void {
         const self = node.view.getSelf().nodeId;
         const peers = node.view.getMembers().filter(member => member.nodeId !== self && member.state !== "dead");
-        for (const nodeId of node.rotation.take(peers.map(peer => peer.nodeId), this.fanOut)) {
+        for (const nodeId of node.rotation.select(peers.map(peer => peer.nodeId), this.fanOut)) {
             this.exchange(node, nodeId);
         }
     }
@@ -134,7 +134,7 @@
             node.view.noteMiss(nodeId, this.now);
             return;
         }
-        const response = peer.exchange.answer(fromBinary(GossipRequestSchema, requestBytes), this.now);
+        const response = peer.exchange.handleRequest(fromBinary(GossipRequestSchema, requestBytes), this.now);
         const responseBytes = toBinary(GossipResponseSchema, response);
         this.count(responseBytes);
         const address = peer.view.getSelf().peerAddress;
@@ -143,8 +143,8 @@
     }
 
     private count(message: Uint8Array): void {
-        this.bytes += message.length;
-        this.messages++;
+        this.sentBytes += message.length;
+        this.sentMessages++;
     }
 
     private createNode(index: number, payloadRecords: number): SimulatedNode {
--- a/bench/policy/greedyChooser.ts
+++ b/bench/policy/greedyChooser.ts
@@ -1,5 +1,5 @@
 import type { Chain, ChainStage } from "../../src/request/chain/chain.ts";
-import type { ChainChooser, ChainOptions, LoadReport } from "../../src/request/chain/chainChooser.ts";
+import type { ChainChooser, ChooseChainOptions, LoadReport } from "../../src/request/chain/chainChooser.ts";
 import type { NoChainError } from "../../src/request/chain/noChainError.ts";
 import { Err, Ok, type Result } from "../../src/result.ts";
 import type { Configuration } from "../../src/version/configuration.ts";
@@ -10,11 +10,11 @@
 /** Load of an endpoint as seen by a {@link GreedyChooser}. */
 export interface GreedyLoad {
     /** Number of sequences in the last load report. */
-    reported: number;
+    reportedSequences: number;
     /** Number of sequences that this node runs. */
-    own: number;
+    ownSequences: number;
     /** Number of times that this node has chosen the endpoint. */
-    chosen: number;
+    timesChosen: number;
     maximumSequences: number;
 }
 
@@ -31,7 +31,7 @@
         this.configuration = configuration;
         this.rank = rank;
         for (const [name, { maximumSequences }] of Object.entries(configuration.endpoints)) {
-            this.loads.set(name, { reported: 0, own: 0, chosen: 0, maximumSequences });
+            this.loads.set(name, { reportedSequences: 0, ownSequences: 0, timesChosen: 0, maximumSequences });
         }
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Chooses the stages one by one, each for the first layer that is still missing. */
-    chooseChain({ model }: ChainOptions): Result<Chain, NoChainError> {
+    chooseChain({ model }: ChooseChainOptions): Result<Chain, NoChainError> {
         const layers = this.configuration.models[model]?.layers ?? 0;
         const stages: ChainStage[] = [];
         let layer = 0;
@@ -65,8 +65,8 @@
         for (const { endpoint } of stages) {
             const load = this.loads.get(endpoint);
             if (load !== undefined) {
-                load.own++;
-                load.chosen++;
+                load.ownSequences++;
+                load.timesChosen++;
             }
         }
     }
@@ -76,7 +76,7 @@
         for (const { endpoint } of stages) {
             const load = this.loads.get(endpoint);
             if (load !== undefined) {
-                load.own--;
+                load.ownSequences--;
             }
         }
     }
@@ -90,7 +90,7 @@
     observeLoad(report: LoadReport): void {
         const load = this.loads.get(report.endpoint);
         if (load !== undefined) {
-            load.reported = report.sequences;
+            load.reportedSequences = report.sequences;
         }
     }
 
--- a/scripts/soak/router/routerFaultKinds.ts
+++ b/scripts/soak/router/routerFaultKinds.ts
@@ -43,7 +43,7 @@
     nodeStoreCut: storeConnectionFault(1, ProxyMode.CutRequests),
     nodeStoreAnswersLost: storeConnectionFault(1, ProxyMode.CutAnswers),
     nodeStoreDelay: storeConnectionFault(1, ProxyMode.Delay),
-    storeRefuses: storeFault(2, longDuration, { refuseWith: 503 }),
+    storeRefuses: storeFault(2, longDuration, { refusalStatus: 503 }),
     storeSilent: storeFault(2, longDuration, { isSilent: true }),
     storeLosesAnswers: storeFault(2, longDuration, { losesAnswers: true }),
     storeCompact: deploymentFault(2, ({ deployment }) => deployment.store.compact()),
@@ -54,9 +54,9 @@
     endpointCutRequests: endpointConnectionFault(1, ProxyMode.CutRequests),
     endpointCutAnswers: endpointConnectionFault(2, ProxyMode.CutAnswers),
     endpointDelay: endpointConnectionFault(2, ProxyMode.Delay),
-    endpointRefuses: behaviourFault(2, { refuseWith: 503 }),
+    endpointRefuses: behaviourFault(2, { refusalStatus: 503 }),
     endpointLosesAnswers: behaviourFault(2, { losesAnswer: true }),
-    endpointFails: behaviourFault(1, { failWith: 500 }),
+    endpointFails: behaviourFault(1, { failureStatus: 500 }),
     endpointMixesUp: behaviourFault(1, { answersWrongRequest: true }),
     endpointUnsigned: behaviourFault(1, { isUnsigned: true }),
     endpointExtraBytes: behaviourFault(1, { sendsExtra: true }),
@@ -84,13 +84,13 @@
 ) {
     return (
         weight: number,
-        holdMilliseconds: DurationRange,
-        show: FaultAction<Target>,
-        undo: FaultAction<Target>,
+        durationMilliseconds: DurationRange,
+        inject: FaultAction<Target>,
+        revert: FaultAction<Target>,
     ): RouterFaultKind =>
         createFaultKind({
             weight,
-            holdMilliseconds,
+            durationMilliseconds,
             take: ({ deployment, random }) => {
                 const target = random.choose(getAll(deployment).filter(({ isTaken }) => !isTaken));
                 if (target !== undefined) {
@@ -99,8 +99,8 @@
                 return target;
             },
             getName: ({ name }) => name,
-            show,
-            undo,
+            inject,
+            revert,
             release: (_, target) => {
                 target.isTaken = false;
             },
@@ -139,27 +139,30 @@
     process.signal("SIGCONT");
 }
 
-function storeFault(weight: number, holdMilliseconds: DurationRange, faults: KeyValueFaults): RouterFaultKind {
+function storeFault(weight: number, durationMilliseconds: DurationRange, faults: KeyValueFaults): RouterFaultKind {
     return createFaultKind({
         weight,
-        holdMilliseconds,
+        durationMilliseconds,
         take: ({ deployment: { store } }) => Object.keys(store.faults).length > 0 ? undefined : store,
         getName: () => "store",
-        show: (_, store) => {
+        inject: (_, store) => {
             store.faults = faults;
         },
-        undo: (_, store) => {
+        revert: (_, store) => {
             store.faults = {};
         },
         release: () => undefined,
     });
 }
 
-function deploymentFault(weight: number, show: (context: RouterSoakContext) => Promise<void> | void): RouterFaultKind {
+function deploymentFault(
+    weight: number,
+    inject: (context: RouterSoakContext) => Promise<void> | void,
+): RouterFaultKind {
     return {
         weight,
-        holdMilliseconds: minimalDuration,
-        prepare: context => ({ target: "store", show: () => show(context), undo: () => undefined }),
+        durationMilliseconds: minimalDuration,
+        prepare: context => ({ target: "store", inject: () => inject(context), revert: () => undefined }),
     };
 }
 
--- a/scripts/soak/router/soakEndpoint.ts
+++ b/scripts/soak/router/soakEndpoint.ts
@@ -5,7 +5,7 @@
 import { EndpointStandin } from "../../../standins/router/endpointStandin.ts";
 import type { KeyValueStandin } from "../../../standins/router/keyValueStandin.ts";
 import type { RunRecord } from "../../../standins/router/runRecord.ts";
-import { eventsOfStream } from "./eventsOfStream.ts";
+import { eventsPerStream } from "./eventsPerStream.ts";
 import { harmfulBody } from "./harmfulBody.ts";
 
 /** Options of {@link SoakEndpoint}. */
@@ -77,20 +77,20 @@
         const id = `${this.name}-${this.incarnations.length}`;
         const standin = await EndpointStandin.create({
             id,
-            events: eventsOfStream,
+            events: eventsPerStream,
             eventMilliseconds,
-            onLayers: () => this.register(),
-            onEnded: () => void this.restart(),
+            onLayersChanged: () => this.register(),
+            onStopped: () => void this.restart(),
         });
-        standin.behaviour = { endsOnBody: harmfulBody };
+        standin.behaviour = { stopsOnBody: harmfulBody };
         this.incarnations.push({ standin, id, address: standin.getAddress(), leavingSince: undefined });
-        this.proxy.resetAll();
+        this.proxy.resetConnections();
         this.register();
     }
 
     /** Sets how the endpoint responds. */
     setBehaviour(behaviour: EndpointBehaviour): void {
-        this.getCurrent().standin.behaviour = { endsOnBody: harmfulBody, ...behaviour };
+        this.getCurrent().standin.behaviour = { stopsOnBody: harmfulBody, ...behaviour };
     }
 
     /** Registers as draining and continues to serve. */
--- a/scripts/soak/sendPlanned.ts
+++ b/scripts/soak/sendPlanned.ts
@@ -1,4 +1,4 @@
-import { referenceAnswer } from "../../standins/engine/referenceModel.ts";
+import { computeReferenceAnswer } from "../../standins/engine/referenceModel.ts";
 import type { LocalDeployment } from "../deployment/localDeployment.ts";
 import { sendChat } from "../deployment/sendChat.ts";
 import { sendDocument } from "../deployment/sendDocument.ts";
@@ -13,7 +13,7 @@
     /** host:port of the node's caller listener. */
     address: string;
     /** Whether the caller disconnects early if planned; false for retries. */
-    mayLeave: boolean;
+    mayDisconnect: boolean;
 }
 
 /** The part of the record that the response determines. */
@@ -40,8 +40,8 @@
     const { plan, node } = attempt;
     const sentAt = Date.now();
     const controller = new AbortController();
-    const disconnects = attempt.mayLeave && plan.leaveAfterMilliseconds > 0;
-    const timer = disconnects ? setTimeout(() => controller.abort(), plan.leaveAfterMilliseconds) : undefined;
+    const disconnects = attempt.mayDisconnect && plan.disconnectAfterMilliseconds > 0;
+    const timer = disconnects ? setTimeout(() => controller.abort(), plan.disconnectAfterMilliseconds) : undefined;
     const send = plan.kind === "chat" ? sendPlannedChat : sendPlannedDocument;
     let result: AttemptResult;
     try {
@@ -72,7 +72,7 @@
         readDelayMilliseconds,
     });
     const { modelLayers } = deployment;
-    const expected = referenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
+    const expected = computeReferenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
     const { outcome, errorCode, errorMessage, isReplayed, chain, longestGapMilliseconds } = answer;
     const result = {
         ...initialResult,
--- a/src/connection/caller/answerWriter.ts
+++ b/src/connection/caller/answerWriter.ts
@@ -29,7 +29,7 @@
     /**
      * Creates the writer of one request.
      * @param response - The caller's response.
-     * @param closesConnection - Gets if the connection should close after the answer.
+     * @param closesConnection - Checks if the connection should close after the answer.
      */
     static create(response: ServerResponse, closesConnection: () => boolean = () => false): AnswerWriter {
         const writer = new AnswerWriter(response, closesConnection);
@@ -37,12 +37,12 @@
         return writer;
     }
 
-    /** Gets if the headers have been sent, so that an error can only be reported inside the stream. */
+    /** Checks if the headers have been sent, so that an error can only be reported inside the stream. */
     isStreaming(): boolean {
         return this.response.headersSent;
     }
 
-    /** Gets if the final answer has been written. */
+    /** Checks if the final answer has been written. */
     hasFinalAnswer(): boolean {
         return this.isFinished;
     }
@@ -58,7 +58,7 @@
      * Waits until the response is sent or its connection is closed.
      * @param signal - Ends the wait.
      */
-    async waitUntilTaken(signal: AbortSignal): Promise<void> {
+    async waitUntilSent(signal: AbortSignal): Promise<void> {
         const { response } = this;
         if (response.writableFinished || response.destroyed || signal.aborted) {
             return;
@@ -71,7 +71,7 @@
     }
 
     /** Destroys the connection, so that the caller can't mistake a partial answer for a complete one. */
-    cutOff(): void {
+    abort(): void {
         this.response.destroy();
     }
 
@@ -82,7 +82,12 @@
      * @param body - The body.
      * @param headers - Additional headers.
      */
-    sendWhole(status: number, contentType: string, body: string | Buffer, headers: Record<string, string> = {}): void {
+    sendResponse(
+        status: number,
+        contentType: string,
+        body: string | Buffer,
+        headers: Record<string, string> = {},
+    ): void {
         this.assertNoFinalAnswer();
         const { response } = this;
         if (!response.destroyed) {
@@ -143,7 +148,7 @@
             this.endStream([body]);
             return;
         }
-        this.sendWhole(error.status, "application/json", body, { ...headers, ...createRetryHeaders(error) });
+        this.sendResponse(error.status, "application/json", body, { ...headers, ...createRetryHeaders(error) });
     }
 
     private flush(): void {
--- a/src/connection/upstream/upstreamPool.ts
+++ b/src/connection/upstream/upstreamPool.ts
@@ -40,7 +40,7 @@
         return this.connections.size;
     }
 
-    /** Gets if the pool has an idle connection. */
+    /** Checks if the pool has an idle connection. */
     hasIdle(): boolean {
         return this.idle.length > 0;
     }
@@ -106,8 +106,8 @@
             address,
             barrier,
             connectTimeoutMilliseconds,
-            onFree: () => this.idle.push(connection),
-            onGone: () => this.remove(connection),
+            onIdle: () => this.idle.push(connection),
+            onClosed: () => this.remove(connection),
         });
         this.connections.add(connection);
         return connection;
--- a/src/process/claimRouter.ts
+++ b/src/process/claimRouter.ts
@@ -6,7 +6,7 @@
 import type { ClaimOwner } from "./claims/claimOwner.ts";
 import type { ClaimVerdict } from "./claims/claimVerdict.ts";
 import type { Clock } from "./clock.ts";
-import { getDutyNodeIds } from "./membership/getDutyNodeIds.ts";
+import { getAssignableNodeIds } from "./membership/getAssignableNodeIds.ts";
 import type { MembershipView } from "./membership/membershipView.ts";
 import type { RendezvousOwners } from "./membership/rendezvousOwners.ts";
 import type { TraceContext } from "./tracing/traceContext.ts";
@@ -68,7 +68,7 @@
      * Decides claims on this node, for itself or a peer. Only the owner of the shard can tell that a key is unclaimed:
      * another node's copy of the shard may be older than the owner's last append.
      */
-    async claimHere(shard: number, claims: readonly Claim[]): Promise<ClaimVerdict[]> {
+    async claimLocally(shard: number, claims: readonly Claim[]): Promise<ClaimVerdict[]> {
         const verdicts = await this.options.local.claim(shard, claims);
         return this.isOwner(shard) ? verdicts : verdicts.map(verdict => ({ ...verdict, isUnclaimed: false }));
     }
@@ -104,7 +104,7 @@
     ): Promise<ClaimVerdict | undefined> {
         const { view, peers } = this.options;
         if (nodeId === view.getSelf().nodeId) {
-            const [verdict] = await this.claimHere(shard, [claim]);
+            const [verdict] = await this.claimLocally(shard, [claim]);
             return verdict;
         }
         const address = view.getMember(nodeId)?.peerAddress;
@@ -127,7 +127,7 @@
     }
 
     private getOwners(shard: number): string[] {
-        const nodeIds = getDutyNodeIds(this.options.view);
+        const nodeIds = getAssignableNodeIds(this.options.view);
         const self = this.options.view.getSelf().nodeId;
         const owners = this.options.owners.getOwners(`claims-${shard}`, nodeIds, candidateCount);
         return owners.length > 0 ? owners : [self];
--- a/src/process/foxleadNode.ts
+++ b/src/process/foxleadNode.ts
@@ -17,14 +17,14 @@
 import { EndpointService } from "./endpointService.ts";
 import type { EventLog } from "./logging/eventLog.ts";
 import { events } from "./logging/events.ts";
-import { getStretch } from "./membership/getStretch.ts";
+import { getIntervalFactor } from "./membership/getIntervalFactor.ts";
+import { maximumFullRateNodes } from "./membership/maximumFullRateNodes.ts";
 import { MembershipView } from "./membership/membershipView.ts";
 import { RendezvousOwners } from "./membership/rendezvousOwners.ts";
-import { unstretchedNodes } from "./membership/unstretchedNodes.ts";
 import { MembershipService } from "./membershipService.ts";
 import { Metrics } from "./metrics/metrics.ts";
-import { NodeFigures } from "./nodeFigures.ts";
 import { NodeLifecycle } from "./nodeLifecycle.ts";
+import { NodeStatistics } from "./nodeStatistics.ts";
 import type { OrderDispatcher } from "./orders/orderDispatcher.ts";
 import { PlatformAccess } from "./platformAccess.ts";
 import type { RandomSource } from "./randomSource.ts";
@@ -63,7 +63,7 @@
     private readonly claims: ClaimService;
     private readonly admissions: AdmissionService;
     private readonly orders: OrderDispatcher;
-    private readonly statistics: NodeFigures;
+    private readonly statistics: NodeStatistics;
     private readonly membership: MembershipService;
     private readonly lifecycle: NodeLifecycle;
     private readonly callers: CallerServer;
@@ -92,7 +92,7 @@
             clock,
             random,
             log,
-            getStretch: () => getStretch(view),
+            getStretch: () => getIntervalFactor(view),
             onAccepted: version => this.applyVersion(version),
         });
         const getConfiguration = () => this.configurations.getConfiguration();
@@ -131,13 +131,13 @@
      */
     async start(): Promise<void> {
         const { settings, log } = this.options;
-        const { gossiper, spreader } = this.membership;
+        const { gossiper, distributor } = this.membership;
         this.peerServer = await PeerServer.create({
             address: settings.peerListener,
             secret: settings.peerSecret,
             tls: settings.tls.peers,
             log,
-            handlers: createPeerHandlers({ gossiper, spreader, claims: this.claims }),
+            handlers: createPeerHandlers({ gossiper, distributor, claims: this.claims }),
         });
         const admin = await this.admin.listen();
         if (!admin.ok) {
@@ -173,7 +173,7 @@
             await idle;
         }
         await ordersStopped;
-        await this.claims.passOnAnswers();
+        await this.claims.transferAnswers();
         await this.close();
         log.write(events.nodeStopped);
     }
@@ -190,7 +190,7 @@
             peersSilentMilliseconds: getAge(now, this.membership.gossiper.getLastContact()),
             runningRequests: this.callers.getRequestsInProgress(),
             queuedRequests: this.admissions.admission.waitingCount,
-            flowBoundTokensPerSecond: this.statistics.getBound(),
+            flowBoundTokensPerSecond: this.statistics.getThroughputBound(),
             tokensPerSecond: this.statistics.getTokensPerSecond(),
         });
     }
@@ -221,12 +221,12 @@
         });
     }
 
-    private createStatistics(): NodeFigures {
+    private createStatistics(): NodeStatistics {
         const { view, metrics } = this;
-        return NodeFigures.create({
+        return NodeStatistics.create({
             clock: this.options.clock,
             metrics,
-            computeBound: () => this.chooser.computeBound(view.getAliveMembers().map(member => member.dataCentre)),
+            computeBound: () => this.chooser.computeFlowBound(view.getAliveMembers().map(member => member.dataCentre)),
             getNodeCount: () => Math.max(1, view.getAliveMembers().length),
             getQueueLength: () => this.admissions.admission.waitingCount,
             getTokenCount: () => metrics.getTokenCount(),
@@ -251,7 +251,7 @@
                 collectEndpointRecords: budgetBytes => this.endpoints.collectRecords(budgetBytes),
                 applyEndpointRecords: records => this.endpoints.applyRecords(records),
                 collectDemandRecords: budgetBytes => {
-                    const isSmall = this.view.getAliveMembers().length <= unstretchedNodes;
+                    const isSmall = this.view.getAliveMembers().length <= maximumFullRateNodes;
                     return customerLimits.getDemand(isSmall ? undefined : Math.floor(budgetBytes / demandRecordBytes));
                 },
                 applyDemandRecords: (records, nodeId) => customerLimits.applyPeerDemand(nodeId, records),
@@ -305,7 +305,7 @@
         this.claims.configure(version.configuration.claims);
         this.view.setConfigurationVersion(version.version);
         this.metrics.configurationVersion.set(version.version);
-        this.membership.spreader.announce(version.version);
+        this.membership.distributor.announce(version.version);
     }
 }
 
--- a/src/process/router/peerState.ts
+++ b/src/process/router/peerState.ts
@@ -38,7 +38,7 @@
     /** Gets the demand of new requests at this node, in tokens per second. */
     getDemand(): number;
     /** Called when a peer has sent something that should be passed on immediately. */
-    onNews(): void;
+    onUpdate(): void;
 }
 
 /** Converts the state of the endpoints, as this node knows it, to and from peer messages. */
@@ -66,7 +66,7 @@
                 create(SuspicionRecordSchema, { endpointId, remaining: Math.round(remainingMilliseconds), isRefusing })
             ),
             readings: readings.getReadings(now).map(reading => create(ReadingRecordSchema, reading)),
-            endedRuns: quarantine.getRuns(now).map(({ fingerprint, endpointId, at }) =>
+            endedRuns: quarantine.getCrashes(now).map(({ fingerprint, endpointId, at }) =>
                 create(EndedRunRecordSchema, { fingerprint, endpointId, age: Math.round(now - at) })
             ),
             endpointLimits: limits.listReports(now).map(({ endpointId, requestsPerSecond, at, demand }) =>
@@ -76,8 +76,8 @@
     }
 
     /** Applies the records of a peer's message. */
-    takeRecords(message: NodeState, now: number): void {
-        const { loads, health, quarantine, limits, readings, onNews } = this.options;
+    applyRecords(message: NodeState, now: number): void {
+        const { loads, health, quarantine, limits, readings, onUpdate } = this.options;
         if (message.sender !== undefined) {
             const reports = message.endpointLimits.map(({ endpointId, requestsPerSecond, age, demand }) => ({
                 endpointId,
@@ -85,22 +85,22 @@
                 at: now - age,
                 demand,
             }));
-            limits.takeReports(message.sender.nodeId, reports, now);
+            limits.applyReports(message.sender.nodeId, reports, now);
             loads.setPeerLoads(message.sender.nodeId, message.loads, message.demand, now);
         }
         let hasNewSuspicion = false;
         for (const { endpointId, remaining, isRefusing } of message.suspicions) {
-            hasNewSuspicion = health.addSuspicion({ endpointId, remainingMilliseconds: remaining, isRefusing }, now)
+            hasNewSuspicion = health.applySuspicion({ endpointId, remainingMilliseconds: remaining, isRefusing }, now)
                 || hasNewSuspicion;
         }
         if (hasNewSuspicion) {
-            onNews();
+            onUpdate();
         }
         for (const { fingerprint, endpointId, age } of message.endedRuns) {
-            quarantine.takeRun({ fingerprint, endpointId, at: now - age });
+            quarantine.addPeerCrash({ fingerprint, endpointId, at: now - age });
         }
         for (const reading of message.readings) {
-            readings.note(reading, now);
+            readings.add(reading, now);
         }
     }
 }
--- a/src/process/router/quarantineKeeper.ts
+++ b/src/process/router/quarantinePersister.ts
@@ -7,8 +7,8 @@
 import type { PlatformStore } from "../platform/platformStore.ts";
 import { type QuarantineRecord, quarantineRecordSchema } from "./quarantineRecord.ts";
 
-/** Options of a {@link QuarantineKeeper}. */
-interface QuarantineKeeperOptions {
+/** Options of a {@link QuarantinePersister}. */
+interface QuarantinePersisterOptions {
     store: Pick<PlatformStore, "get" | "compareAndSwap"> & {
         /** Reads a key at a lower cost; the value may be some seconds old. */
         getStale: PlatformStore["get"];
@@ -28,8 +28,8 @@
  * Saves the quarantined requests to the platform's store, and loads them when the node starts. If all nodes end at once, no peer
  * is left that knows them, and a harmful request would end endpoints again.
  */
-export class QuarantineKeeper {
-    private readonly options: QuarantineKeeperOptions;
+export class QuarantinePersister {
+    private readonly options: QuarantinePersisterOptions;
     private timer: TimerHandle | undefined;
     private backoff = minimumBackoffMilliseconds;
     private isSynchronizing = false;
@@ -37,13 +37,13 @@
     private isWriteDue = false;
     private isStopped = false;
 
-    private constructor(options: QuarantineKeeperOptions) {
+    private constructor(options: QuarantinePersisterOptions) {
         this.options = options;
     }
 
     /** Creates an instance that does nothing before {@link start}. */
-    static create(options: QuarantineKeeperOptions): QuarantineKeeper {
-        return new QuarantineKeeper(options);
+    static create(options: QuarantinePersisterOptions): QuarantinePersister {
+        return new QuarantinePersister(options);
     }
 
     /** Starts to load what earlier nodes have saved. */
@@ -94,7 +94,7 @@
         const text = stored.val?.value;
         const record = text === undefined ? Ok({ runs: [] }) : decode(text);
         if (record.err) {
-            log.write(events.quarantineRecordBroken, { key, reason: record.val });
+            log.write(events.quarantineRecordInvalid, { key, reason: record.val });
         }
         else {
             this.applyRecord(record.val);
@@ -115,7 +115,7 @@
         const wallTime = clock.getWallTime();
         const now = clock.getMonotonicTime();
         for (const { fingerprint, endpointId, endedAt } of runs) {
-            quarantine.takeRun({ fingerprint, endpointId, at: now - Math.max(0, wallTime - endedAt) });
+            quarantine.addPeerCrash({ fingerprint, endpointId, at: now - Math.max(0, wallTime - endedAt) });
         }
     }
 
@@ -123,7 +123,7 @@
         const { quarantine, clock } = this.options;
         const wallTime = clock.getWallTime();
         const now = clock.getMonotonicTime();
-        const runs = quarantine.getHeldRuns(now).map(({ fingerprint, endpointId, at }) => ({
+        const runs = quarantine.getHeldCrashes(now).map(({ fingerprint, endpointId, at }) => ({
             fingerprint,
             endpointId,
             endedAt: Math.round(wallTime - (now - at)),
@@ -132,7 +132,7 @@
     }
 
     private logFailure({ kind, message }: PlatformError): false {
-        this.options.log.write(events.quarantineNotKept, { kind, reason: message });
+        this.options.log.write(events.quarantineStoreFailed, { kind, reason: message });
         return false;
     }
 }
--- a/src/process/router/requestRouter.ts
+++ b/src/process/router/requestRouter.ts
@@ -7,11 +7,11 @@
 import type { RelayRefusal } from "../../request/relay/relayRefusal.ts";
 import type { RelayTask } from "../../request/relay/relayTask.ts";
 import type { RoutedRequest } from "../../request/relay/routedRequest.ts";
-import type { StallWatch } from "../../request/relay/stallWatch.ts";
+import type { StallDetector } from "../../request/relay/stallDetector.ts";
 import { StreamRelay } from "../../request/relay/streamRelay.ts";
 import type { Route } from "../../version/routing/route.ts";
 import { events } from "../logging/events.ts";
-import type { LoopWatch } from "../loop/loopWatch.ts";
+import type { EventLoopMonitor } from "../loop/eventLoopMonitor.ts";
 import type { Metrics } from "../metrics/metrics.ts";
 import type { RoutingHolder } from "./routingHolder.ts";
 
@@ -19,9 +19,9 @@
 interface RequestRouterOptions {
     environment: RelayEnvironment;
     holder: RoutingHolder;
-    stalls: StallWatch;
+    stalls: StallDetector;
     metrics: Metrics;
-    loop: Pick<LoopWatch, "getLateness">;
+    loop: Pick<EventLoopMonitor, "getLateness">;
 }
 
 /** Retry delay given to callers; a node without a configuration gets one within about this time. */
@@ -71,7 +71,7 @@
             + Math.min(route.timeoutMilliseconds, request.deadlineMilliseconds ?? Infinity);
         const rank = state.getCustomerRank(customer) ?? route.priority;
         const { deadlines, clock } = this.options.environment;
-        const isReturn = deadlines.note(route.name, request.deadlineMilliseconds, clock.getMonotonicTime());
+        const isReturn = deadlines.observeRequest(route.name, request.deadlineMilliseconds, clock.getMonotonicTime());
         const fingerprint = fingerprintRequest(request, customer);
         const takenUpLateMilliseconds = this.options.loop.getLateness();
         this.relay({
@@ -91,7 +91,7 @@
     private relay(task: RelayTask): void {
         const { environment, stalls, metrics } = this.options;
         const { request, service } = task;
-        environment.repeats.observeRequest();
+        environment.retryBudget.observeRequest();
         metrics.relaysInProgress.inc();
         const finish = () => {
             metrics.relaysInProgress.dec();
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -1,45 +1,45 @@
 import { FramedServer } from "../../connection/peer/framed/framedServer.ts";
 import { UpstreamPools } from "../../connection/upstream/upstreamPools.ts";
 import { RetryBudget } from "../../request/admission/retryBudget.ts";
-import { UsualDeadlines } from "../../request/admission/start/usualDeadlines.ts";
+import { RetryDetector } from "../../request/admission/start/retryDetector.ts";
 import type { AnswerSink } from "../../request/relay/answerSink.ts";
-import { CrossingDelays } from "../../request/relay/crossingDelays.ts";
 import { EndpointHealth } from "../../request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../request/relay/endpointLoads.ts";
 import { FirstEventTimes } from "../../request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../request/relay/limits/endpointLimits.ts";
-import { PipeLoad } from "../../request/relay/pipeLoad.ts";
-import { PipeShares } from "../../request/relay/pipeShares.ts";
+import { LinkDelays } from "../../request/relay/linkDelays.ts";
+import { LinkPacer } from "../../request/relay/linkPacer.ts";
+import { LinkTraffic } from "../../request/relay/linkTraffic.ts";
 import { RequestQuarantine } from "../../request/relay/quarantine/requestQuarantine.ts";
-import { RefusalWatch } from "../../request/relay/refusalWatch.ts";
+import { RefusalDetector } from "../../request/relay/refusalDetector.ts";
 import type { RelayEnvironment } from "../../request/relay/relayEnvironment.ts";
 import { RelayQueue } from "../../request/relay/relayQueue.ts";
 import type { RoutedRequest } from "../../request/relay/routedRequest.ts";
-import { StallWatch } from "../../request/relay/stallWatch.ts";
+import { StallDetector } from "../../request/relay/stallDetector.ts";
 import type { RoutedService } from "../../version/routing/routedService.ts";
 import { RouterService } from "../../wire/generated/foxlead/router/v1/router_pb.ts";
 import type { TimerHandle } from "../clock.ts";
 import { FencedLease } from "../leases/fencedLease.ts";
 import { events } from "../logging/events.ts";
-import { PlacementDuty } from "../placement/placementDuty.ts";
+import { PlacementController } from "../placement/placementController.ts";
 import type { ChangeSource } from "../replica/changeSource.ts";
 import { RecordFollower } from "../replica/recordFollower.ts";
 import { RecordSection } from "../replica/recordSection.ts";
 import { chooseLimitSharers } from "./chooseLimitSharers.ts";
 import { EndpointCalls } from "./endpointCalls.ts";
-import { EndpointPoll } from "./endpointPoll.ts";
+import { EndpointPoller } from "./endpointPoller.ts";
 import { EndpointReadings } from "./endpointReadings.ts";
 import { EndpointRegistry } from "./endpointRegistry.ts";
-import { getRepeatPolicy } from "./getRepeatPolicy.ts";
-import { HighestCount } from "./highestCount.ts";
+import { getRetryPolicy } from "./getRetryPolicy.ts";
 import { NodeTable } from "./nodeTable.ts";
 import { PeerExchange } from "./peerExchange.ts";
 import { PeerState } from "./peerState.ts";
-import { QuarantineKeeper } from "./quarantineKeeper.ts";
+import { QuarantinePersister } from "./quarantinePersister.ts";
 import { RequestRouter } from "./requestRouter.ts";
 import type { RouterNodeOptions } from "./routerNodeOptions.ts";
 import { RoutingHolder } from "./routingHolder.ts";
-import { StoreFollowing } from "./storeFollowing.ts";
+import { SlidingMaximum } from "./slidingMaximum.ts";
+import { StoreWatchController } from "./storeWatchController.ts";
 
 /** Time to live of the lease. It is renewed three times within it, and a lost holder is replaced after it. */
 const leaseTtlMilliseconds = 3_000;
@@ -59,28 +59,28 @@
     private readonly pools: UpstreamPools;
     private readonly registry: EndpointRegistry;
     private readonly holder: RoutingHolder;
-    private readonly following: StoreFollowing;
+    private readonly storeWatch: StoreWatchController;
     private readonly exchange: PeerExchange;
     private readonly lease: FencedLease;
-    private readonly duty: PlacementDuty;
+    private readonly duty: PlacementController;
     private readonly router: RequestRouter;
-    private readonly poll: EndpointPoll;
-    private readonly stalls: StallWatch;
+    private readonly poll: EndpointPoller;
+    private readonly stalls: StallDetector;
     private readonly queue: RelayQueue;
     private readonly loads: EndpointLoads;
-    private readonly quarantineKeeper: QuarantineKeeper;
+    private readonly quarantinePersister: QuarantinePersister;
     private readonly health: EndpointHealth;
     private readonly limits: EndpointLimits;
     private peerServer: FramedServer | undefined;
     private isDraining = false;
     private cleanupTimer: TimerHandle | undefined;
-    private readonly nodeCount: HighestCount;
+    private readonly nodeCount: SlidingMaximum;
 
     private constructor(options: RouterNodeOptions) {
         this.options = options;
         const { settings, clock, random, log, store, keys, metrics, protocol, nodeId } = options;
         this.health = EndpointHealth.create(random);
-        this.nodeCount = HighestCount.create(initialNodeCount, clock.getMonotonicTime());
+        this.nodeCount = SlidingMaximum.create(initialNodeCount, clock.getMonotonicTime());
         this.queue = RelayQueue.create({
             clock,
             random,
@@ -99,27 +99,27 @@
             chooseSharers: (endpoint, most) => {
                 const self = { nodeId, dataCentre: settings.dataCentre };
                 const nodes = [self, ...this.nodes.getLiveNodes(clock.getMonotonicTime())];
-                return chooseLimitSharers({ endpoint, most, nodeId, nodes, owners: options.owners });
+                return chooseLimitSharers({ endpoint, maximumSharers: most, nodeId, nodes, owners: options.owners });
             },
-            onNews: () => {
+            onSignificantChange: () => {
                 queue.wake();
-                this.exchange.tellNews();
+                this.exchange.propagateUpdate();
             },
         });
         const readings = EndpointReadings.create();
         const quarantine = RequestQuarantine.create({
             log,
-            getAliveTime: endpointId => this.health.getAliveTime(endpointId),
-            onEnded: isHeldBack => {
+            getAliveTime: endpointId => this.health.getLastAliveTime(endpointId),
+            onCrash: isHeldBack => {
                 metrics.endpointEndsTotal.inc({ outcome: isHeldBack ? "heldBack" : "suspected" });
                 // The caller may send the request again to any other node a moment later.
-                this.exchange.tellNews();
+                this.exchange.propagateUpdate();
                 if (isHeldBack) {
-                    this.quarantineKeeper.save();
+                    this.quarantinePersister.save();
                 }
             },
         });
-        this.quarantineKeeper = QuarantineKeeper.create({ store, key: keys.quarantine, quarantine, clock, log });
+        this.quarantinePersister = QuarantinePersister.create({ store, key: keys.quarantine, quarantine, clock, log });
         this.nodes = NodeTable.create(nodeId);
         this.pools = UpstreamPools.create(options.barrier, () => metrics.upstreamConnectionsTotal.inc());
         this.holder = RoutingHolder.create({
@@ -133,9 +133,9 @@
             readings,
             decode: options.decodeEndpoint,
             drainMilliseconds: settings.drainMilliseconds,
-            getLastStoreFailure: () => this.following.getLastFailure(),
+            getLastStoreFailure: () => this.storeWatch.getLastFailure(),
             onChange: () => this.scheduleCleanup(),
-            onRestart: earlier => this.stalls.loseEndpoint(earlier),
+            onRestart: earlier => this.stalls.handleEndpointRestart(earlier),
         });
         const configuration = RecordSection.create({
             name: "configuration",
@@ -161,7 +161,7 @@
             timeToLiveMilliseconds: leaseTtlMilliseconds,
             longestOrderMilliseconds,
         });
-        this.following = StoreFollowing.create({
+        this.storeWatch = StoreWatchController.create({
             nodeId,
             clock,
             nodes: this.nodes,
@@ -181,7 +181,7 @@
             nodeId,
             address: settings.peerListener,
             dataCentre: settings.dataCentre,
-            following: this.following,
+            storeWatch: this.storeWatch,
             lease: this.lease,
             seeds: settings.seeds,
             nodes: this.nodes,
@@ -194,9 +194,9 @@
                 limits: this.limits,
                 readings,
                 getDemand: () => queue.getDemand(),
-                onNews: () => this.exchange.tellNews(),
+                onUpdate: () => this.exchange.propagateUpdate(),
             }),
-            isBusy: () => queue.isBusy(),
+            isBusy: () => queue.isContended(),
             clock,
             random,
             log,
@@ -207,7 +207,7 @@
             clock,
             metrics,
             log,
-            onIncarnation: (endpoint, incarnation) => this.registry.noteIncarnation(endpoint, incarnation),
+            onIncarnation: (endpoint, incarnation) => this.registry.handleIncarnation(endpoint, incarnation),
         });
         const environment: RelayEnvironment = {
             dataCentre: settings.dataCentre,
@@ -219,29 +219,32 @@
             directory: this.registry,
             loads,
             health: this.health,
-            refusals: RefusalWatch.create({
+            refusals: RefusalDetector.create({
                 health: this.health,
                 clock,
                 log,
                 fetchReport: endpoint => calls.fetchReport(endpoint),
-                onFound: () => this.exchange.tellNews(),
+                onFound: () => this.exchange.propagateUpdate(),
             }),
             limits: this.limits,
             quarantine,
             queue,
             firstEvents: FirstEventTimes.create(),
-            deadlines: UsualDeadlines.create(),
-            crossings: CrossingDelays.create(),
-            pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => loads.getDemandPart(queue.getDemand(), this.getNodeCount())),
+            deadlines: RetryDetector.create(),
+            crossingDelays: LinkDelays.create(),
+            linkTraffic: LinkTraffic.create(),
+            linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), this.getNodeCount())),
             getNodeCount: () => this.getNodeCount(),
-            repeats: RetryBudget.create(clock.getMonotonicTime(), () => getRepeatPolicy(settings, this.getNodeCount())),
+            retryBudget: RetryBudget.create(
+                clock.getMonotonicTime(),
+                () => getRetryPolicy(settings, this.getNodeCount()),
+            ),
         };
-        this.duty = PlacementDuty.create({
+        this.duty = PlacementController.create({
             store,
             lease: this.lease,
-            isStoreAnswering: () => !this.following.isWithoutStore(),
-            isCandidate: () => this.following.isStoreWatcher() && !this.isDraining,
+            isStoreAnswering: () => !this.storeWatch.isWithoutStore(),
+            isCandidate: () => this.storeWatch.isStoreWatcher() && !this.isDraining,
             clock,
             runLong: (name, action) => clock.run(name, action),
             log,
@@ -251,7 +254,7 @@
             sendOrder: (endpoint, order) => calls.sendLayerOrder(endpoint, order),
             fetchReport: endpoint => calls.fetchReport(endpoint),
         });
-        this.poll = EndpointPoll.create({
+        this.poll = EndpointPoller.create({
             nodeId,
             clock,
             readings,
@@ -260,7 +263,7 @@
             getEndpoints: () => this.getModelServices().flatMap(({ name }) => [...this.registry.getEndpoints(name)]),
             fetchReport: endpoint => calls.fetchReport(endpoint),
         });
-        this.stalls = StallWatch.create({
+        this.stalls = StallDetector.create({
             environment,
             clock,
             fetchReport: endpoint => calls.fetchReport(endpoint),
@@ -287,12 +290,12 @@
             address: settings.peerListener,
             service: RouterService,
             handlers: {
-                exchange: request => this.exchange.answer(request),
-                fetch: request => this.exchange.answerFetch(request),
+                exchange: request => this.exchange.handleExchange(request),
+                fetch: request => this.exchange.handleFetch(request),
             },
         });
-        this.following.start();
-        this.quarantineKeeper.start();
+        this.storeWatch.start();
+        this.quarantinePersister.start();
         this.exchange.start();
         this.duty.start();
         this.poll.start();
@@ -338,8 +341,8 @@
 
     /** Stops the remaining parts and closes the connections. */
     async stop(): Promise<void> {
-        this.following.stop();
-        this.quarantineKeeper.stop();
+        this.storeWatch.stop();
+        this.quarantinePersister.stop();
         this.exchange.stop();
         this.pools.close();
         await this.peerServer?.close();
@@ -347,7 +350,7 @@
 
     private createFollower(section: RecordSection, prefix: string): RecordFollower {
         const { store, clock, random, log } = this.options;
-        const isStoreAnswering = () => this.following.isProbeAnswered();
+        const isStoreAnswering = () => this.storeWatch.isProbeAnswered();
         const callStore = () => store.isAnswering();
         return RecordFollower.create({ store, section, prefix, isStoreAnswering, callStore, clock, random, log });
     }
@@ -355,7 +358,7 @@
     /** Passes on a change from the store. Changes from a peer are passed on once all of them are applied. */
     private propagateStoreChange(source: ChangeSource): void {
         if (source === "store") {
-            this.exchange.tellNews();
+            this.exchange.propagateUpdate();
         }
     }
 
@@ -382,6 +385,6 @@
 
     private getNodeCount(): number {
         const now = this.options.clock.getMonotonicTime();
-        return this.nodeCount.note(1 + this.nodes.getLiveNodes(now).length, now);
+        return this.nodeCount.add(1 + this.nodes.getLiveNodes(now).length, now);
     }
 }
--- a/src/request/model/chainSelection.ts
+++ b/src/request/model/chainSelection.ts
@@ -37,7 +37,7 @@
         return this.choose(positions, this.excluded);
     }
 
-    /** Gets if any endpoint is excluded. */
+    /** Checks if any endpoint is excluded. */
     hasExclusions(): boolean {
         return this.excluded.size > 0;
     }
@@ -48,7 +48,7 @@
     }
 
     /** Excludes the endpoint at which a chain broke and prefers the chain's other endpoints. */
-    observeBroken(chain: Chain, endpoint: string): void {
+    observeBrokenChain(chain: Chain, endpoint: string): void {
         this.excluded.add(endpoint);
         this.survivingEndpoints.clear();
         for (const stage of chain.stages) {
@@ -59,11 +59,11 @@
     }
 
     /**
-     * Gets if the answer should replace a slow stage, and counts the replacement. Returns false if no other chain
+     * Checks if the answer should replace a slow stage, and counts the replacement. Returns false if no other chain
      * exists or the maximum number of replacements is reached.
      * @param endpoint - Endpoint of the stage.
      */
-    leaveSlowStage(endpoint: string): boolean {
+    tryReplaceSlowStage(endpoint: string): boolean {
         if (
             this.slowStageReplacements >= maximumSlowStageReplacements
             || !this.choose(1, new Set(this.excluded).add(endpoint)).ok
--- a/src/request/model/createGenerationObserver.ts
+++ b/src/request/model/createGenerationObserver.ts
@@ -30,7 +30,7 @@
                 span.end();
             };
         },
-        onAttemptBroken: failure => {
+        onAttemptFailed: failure => {
             metrics.rebuildsTotal.inc();
             if (failure.reason === "memory") {
                 environment.admission.observeRefusal(gate);
@@ -41,7 +41,7 @@
             if (failure.kind === "unreachable" || failure.kind === "notSent") {
                 endpoints.observeUnreachable(failure.endpoint);
             }
-            log.write(events.chainBroken, {
+            log.write(events.chainFailed, {
                 request: context.id,
                 endpoint: failure.endpoint,
                 kind: failure.kind,
@@ -50,7 +50,7 @@
         },
         onRecovered: elapsedMilliseconds =>
             metrics.recoverySeconds.observe(elapsedMilliseconds / millisecondsPerSecond),
-        onRebuilt: positions => metrics.rebuiltPositionsTotal.inc(positions),
+        onContextRebuilt: positions => metrics.rebuiltPositionsTotal.inc(positions),
         onStaleResult: reason => metrics.staleResultsTotal.inc({ reason }),
     };
 }
--- a/src/request/relay/runAllowance.ts
+++ b/src/request/relay/attemptLimit.ts
@@ -1,4 +1,4 @@
-import { mostRefusals } from "./mostRefusals.ts";
+import { maximumRefusals } from "./maximumRefusals.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
 import type { RelayTask } from "./relayTask.ts";
 
@@ -6,7 +6,7 @@
 const hardAttemptLimit = 6;
 
 /** Limits the attempts of a request as its route specifies. Runs on first stages that have been lost since don't count. */
-export class RunAllowance {
+export class AttemptLimit {
     private readonly environment: RelayEnvironment;
     private readonly task: RelayTask;
     /** First stages that may have run the request. */
@@ -20,17 +20,17 @@
     }
 
     /** Creates the limit for a request that was not sent yet. */
-    static create(environment: RelayEnvironment, task: RelayTask): RunAllowance {
-        return new RunAllowance(environment, task);
+    static create(environment: RelayEnvironment, task: RelayTask): AttemptLimit {
+        return new AttemptLimit(environment, task);
     }
 
     /** Gets the number of attempts. */
-    getSendings(): number {
+    getAttemptCount(): number {
         return this.attemptCount;
     }
 
     /** Counts an attempt. */
-    noteSending(): void {
+    noteAttempt(): void {
         this.attemptCount += 1;
     }
 
@@ -44,9 +44,9 @@
         this.possibleRuns.add(endpointId);
     }
 
-    /** Gets if the request may be sent to another first stage. */
-    mayRunAgain(): boolean {
-        if (this.attemptCount >= hardAttemptLimit || this.refusalCount > mostRefusals) {
+    /** Checks if the request may be sent to another first stage. */
+    mayAttemptAgain(): boolean {
+        if (this.attemptCount >= hardAttemptLimit || this.refusalCount > maximumRefusals) {
             return false;
         }
         const { directory, health, clock } = this.environment;
--- a/src/request/relay/chooseSoundStages.ts
+++ b/src/request/relay/chooseHealthyStages.ts
@@ -13,7 +13,7 @@
  * @param random - Source of the noise that makes nodes choose differently.
  * @returns The stages; undefined if there is no chain, or if the request should wait for free memory.
  */
-export function chooseSoundStages(
+export function chooseHealthyStages(
     query: StageQuery,
     candidates: readonly StageCandidate[],
     random: RandomSource,
@@ -23,7 +23,7 @@
     if (stages !== undefined || healthy.length === candidates.length) {
         return stages;
     }
-    const isOnlyFull = !query.mayOverfill
-        && chooseStages({ ...query, mayOverfill: true }, healthy, random) !== undefined;
+    const isOnlyFull = !query.mayOvercommit
+        && chooseStages({ ...query, mayOvercommit: true }, healthy, random) !== undefined;
     return isOnlyFull ? undefined : chooseStages(query, candidates, random);
 }
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -11,7 +11,7 @@
     /** Ids of endpoints that the chain must not use; may grow while the request waits. */
     avoided: ReadonlySet<string>;
     /** Whether the request was sent to an endpoint before, so that starting it needs the retry budget. */
-    isRepeat: boolean;
+    isRetry: boolean;
 }
 
 /**
@@ -31,14 +31,16 @@
 
 /** Creates the queue entry of a request for a chain, which states how long it may wait and how it is started. */
 export function createQueuedRelay(options: QueuedRelayOptions): QueuedRelay {
-    const { environment, task, chains, avoided, isRepeat, start, refuse } = options;
+    const { environment, task, chains, avoided, isRetry: isRepeat, start, refuse } = options;
     const { request, route, customer, rank, isReturn, dueAt } = task;
-    const { clock, firstEvents, repeats } = environment;
+    const { clock, firstEvents, retryBudget: repeats } = environment;
     const reservedMilliseconds = Math.min(
         firstEvents.getExpected(),
-        route.objectiveMilliseconds * maximumReserveFraction,
+        route.targetLatencyMilliseconds * maximumReserveFraction,
     );
-    const timelyUntil = isReturn ? -Infinity : request.arrivedAt + route.objectiveMilliseconds - reservedMilliseconds;
+    const timelyUntil = isReturn
+        ? -Infinity
+        : request.arrivedAt + route.targetLatencyMilliseconds - reservedMilliseconds;
     const closed = new Set<string>();
     environment.limits.noteRequest(task.service.name, clock.getMonotonicTime());
     return {
@@ -46,24 +48,29 @@
         rank,
         customer,
         cost: chains.getTokens(),
-        timelyUntil,
-        waitsUntil: Math.min(request.arrivedAt + maximumWaitMilliseconds, dueAt),
-        longestReturnMilliseconds: (dueAt - request.arrivedAt) * maximumRetryDelayFraction,
-        takePlace: () => {
+        latestOnTimeStart: timelyUntil,
+        latestStart: Math.min(request.arrivedAt + maximumWaitMilliseconds, dueAt),
+        maximumRetryMilliseconds: (dueAt - request.arrivedAt) * maximumRetryDelayFraction,
+        tryReserve: () => {
             const now = clock.getMonotonicTime();
             const sparePart = now > timelyUntil ? reservedFractionForTimely : 0;
-            const stages = chains.chooseOpen({ avoid: avoided, mayOverfill: false, sparePart, closed });
+            const stages = chains.chooseWithinLimits({
+                avoid: avoided,
+                mayOvercommit: false,
+                spareFraction: sparePart,
+                closed,
+            });
             if (stages === undefined) {
                 return undefined;
             }
             if (isRepeat && !repeats.takeRetry(now)) {
-                chains.giveBack(stages);
+                chains.refundLimit(stages);
                 return undefined;
             }
             return { stages, reservation: chains.reserve(stages) };
         },
         isServable: () => chains.hasChain(avoided),
-        getLimitReturn: () => chains.getLimitReturn({ avoid: avoided, closed }),
+        getLimitRetryMilliseconds: () => chains.getLimitRetryDelay({ avoid: avoided, closed }),
         start,
         refuse,
     };
--- a/src/request/relay/documentRelay.ts
+++ b/src/request/relay/documentRelay.ts
@@ -10,7 +10,7 @@
 import { createRefusal } from "./createRefusal.ts";
 import { getSentMilliseconds } from "./getSentMilliseconds.ts";
 import type { LoadReservation } from "./loadReservation.ts";
-import { mostRefusals } from "./mostRefusals.ts";
+import { maximumRefusals } from "./maximumRefusals.ts";
 import { TaskQuarantine } from "./quarantine/taskQuarantine.ts";
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
 import type { RelayEnvironment } from "./relayEnvironment.ts";
@@ -89,7 +89,7 @@
         const { environment, task } = this;
         task.sink.onClosed(() => this.finish("callerGone"));
         this.setTimer(task.dueAt - environment.clock.getMonotonicTime(), () => this.expire());
-        this.setTimer(task.route.objectiveMilliseconds * hedgeFraction, () => this.handleLateAnswer());
+        this.setTimer(task.route.targetLatencyMilliseconds * hedgeFraction, () => this.handleLateAnswer());
         this.startAttempt("no endpoint of the service is ready.");
     }
 
@@ -103,7 +103,7 @@
         }
         const { environment, task } = this;
         const isAllowed = this.attempts - this.unsentAttempts < task.route.maximumAttempts
-            || !this.mayHaveRun && this.runningAttempts.size === 0 && this.refusals <= mostRefusals;
+            || !this.mayHaveRun && this.runningAttempts.size === 0 && this.refusals <= maximumRefusals;
         const limitedIds = new Set<string>();
         const endpoint = isAllowed ? this.acquireEndpoint(limitedIds) : undefined;
         if (endpoint === undefined) {
@@ -111,7 +111,7 @@
             return;
         }
         if (isRetry && !this.takeRetryFromBudget()) {
-            environment.limits.giveBack(endpoint.id);
+            environment.limits.refund(endpoint.id);
             this.giveUp(cause);
             return;
         }
@@ -131,7 +131,7 @@
         this.send(attempt);
     }
 
-    /** Gets if the request is quarantined. If so, refuses it unless an endpoint still runs it. */
+    /** Checks if the request is quarantined. If so, refuses it unless an endpoint still runs it. */
     private refuseIfQuarantined(cause: string): boolean {
         const hold = this.quarantine.getHold();
         if (hold !== undefined) {
@@ -176,14 +176,14 @@
         }
         const now = this.getTime();
         const { health } = this.environment;
-        health.noteAlive(attempt.endpoint.id, now);
+        health.markAlive(attempt.endpoint.id, now);
         if (head.isNotRun) {
             this.refusals += 1;
             health.addFailure(attempt.endpoint.id, now);
             this.endAttempt(attempt, { isNotRun: true, cause: "the endpoints refused it." });
             return;
         }
-        this.quarantine.noteOutlived();
+        this.quarantine.markSafe();
         const answer = { head, body: Buffer.concat(attempt.chunks) };
         if (head.status >= serverErrorStatus) {
             health.addFailure(attempt.endpoint.id, now);
@@ -203,11 +203,11 @@
         const isNotRun = failure.kind === UpstreamFailureKind.NotSent;
         const { health } = this.environment;
         if (isNotRun) {
-            health.addLoss(attempt.endpoint.id, this.getTime());
+            health.markUnavailable(attempt.endpoint.id, this.getTime());
         }
         else {
             health.addFailure(attempt.endpoint.id, this.getTime());
-            this.quarantine.noteEnded(attempt.endpoint.id, attempt.sentAt);
+            this.quarantine.noteCrash(attempt.endpoint.id, attempt.sentAt);
         }
         this.endAttempt(attempt, {
             isNotRun,
@@ -256,7 +256,7 @@
         for (const attempt of [...this.runningAttempts]) {
             if (attempt.exchange?.getSentTime() === undefined) {
                 attempt.exchange?.abort();
-                this.environment.health.addLoss(attempt.endpoint.id, this.getTime());
+                this.environment.health.markUnavailable(attempt.endpoint.id, this.getTime());
                 this.endAttempt(attempt, {
                     isNotRun: true,
                     isUnsent: true,
@@ -311,13 +311,13 @@
             this.giveUp(cause);
             return;
         }
-        const retryAfterMilliseconds = this.environment.limits.bookReturn(limitedIds, this.getTime());
+        const retryAfterMilliseconds = this.environment.limits.bookRetry(limitedIds, this.getTime());
         const limitedCause = `${cause} The rate limits of the remaining endpoints are exhausted.`;
         this.giveUp(limitedCause, createRefusal.notRun(limitedCause, retryAfterMilliseconds));
     }
 
     private takeRetryFromBudget(): boolean {
-        return this.environment.repeats.takeRetry(this.getTime());
+        return this.environment.retryBudget.takeRetry(this.getTime());
     }
 
     private deliver(answer: WholeAnswer, endpoint: RegisteredEndpoint): void {
--- a/src/request/relay/estimateAnswer.ts
+++ b/src/request/relay/estimateAnswerTime.ts
@@ -1,5 +1,5 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
-import { estimatePrefill } from "./estimatePrefill.ts";
+import { estimatePrefillTime } from "./estimatePrefillTime.ts";
 import { getMeanContext } from "./getMeanContext.ts";
 import type { StageWork } from "./stageWork.ts";
 
@@ -7,14 +7,14 @@
 const passesPerStep = 1.5;
 
 /** Estimates the time that a stage adds to a whole answer, in milliseconds. */
-export function estimateAnswer(
+export function estimateAnswerTime(
     model: EngineModel,
     work: StageWork,
     promptTokens: number,
     answerTokens: number,
 ): number {
-    const passes = answerTokens / model.stepsOfPass;
-    return passes * passesPerStep * estimatePassTime(model, work) + estimatePrefill(model, work, promptTokens);
+    const passes = answerTokens / model.stepsPerPass;
+    return passes * passesPerStep * estimatePassTime(model, work) + estimatePrefillTime(model, work, promptTokens);
 }
 
 /**
@@ -22,7 +22,7 @@
  * requests and context, scaled by the accelerator kind and the share of the layers.
  */
 function estimatePassTime(model: EngineModel, work: StageWork): number {
-    const context = model.stepMillisecondsOfThousandTokens * getMeanContext(model) / 1_000;
-    const step = model.stepMilliseconds + work.requests * (model.stepMillisecondsOfRequest + context);
-    return model.stepsOfPass * step * work.kind.stepFactor * work.slowness * work.layers / model.layers;
+    const context = model.stepMillisecondsPerThousandTokens * getMeanContext(model) / 1_000;
+    const step = model.stepMilliseconds + work.requests * (model.stepMillisecondsPerRequest + context);
+    return model.stepsPerPass * step * work.kind.stepFactor * work.slowness * work.layers / model.layers;
 }
--- a/src/request/relay/eventSplitter.ts
+++ b/src/request/relay/eventSplitter.ts
@@ -27,8 +27,8 @@
         return events;
     }
 
-    /** Gets if there are bytes of an incomplete event. */
-    hasRest(): boolean {
+    /** Checks if there are bytes of an incomplete event. */
+    hasIncompleteEvent(): boolean {
         return this.incompleteEvent.length > 0;
     }
 }
--- a/src/request/relay/limits/endpointLimits.ts
+++ b/src/request/relay/limits/endpointLimits.ts
@@ -2,7 +2,7 @@
 import { events } from "../../../process/logging/events.ts";
 import type { RandomSource } from "../../../process/randomSource.ts";
 import { PeerDemands } from "../../admission/peerDemands.ts";
-import { ReturnSchedule } from "../../admission/returnSchedule.ts";
+import { RetrySchedule } from "../../admission/retrySchedule.ts";
 import { SmoothedRate } from "../../admission/smoothedRate.ts";
 import type { RegisteredEndpoint } from "../registeredEndpoint.ts";
 import type { EndpointLimit } from "./endpointLimit.ts";
@@ -21,7 +21,7 @@
      */
     chooseSharers(endpoint: Pick<RegisteredEndpoint, "id" | "dataCentre">, maximumNodes: number): LimitSharers;
     /** Called when peers should be informed at once, because a limit has started, changed considerably or ended. */
-    onNews?(): void;
+    onSignificantChange?(): void;
 }
 
 /** Source of a node's information about a limit. */
@@ -72,11 +72,11 @@
     private readonly limits = new Map<string, KnownLimit>();
     private readonly peerDemands = PeerDemands.create();
     private readonly arrivals = new Map<string, SmoothedRate>();
-    private readonly retrySchedule: ReturnSchedule;
+    private readonly retrySchedule: RetrySchedule;
 
     private constructor(options: EndpointLimitsOptions) {
         this.options = options;
-        this.retrySchedule = ReturnSchedule.create(options.random);
+        this.retrySchedule = RetrySchedule.create(options.random);
     }
 
     /** Creates an instance without limits. */
@@ -102,7 +102,7 @@
      * @param reports - All reports of the peer.
      * @param now - Monotonic time in milliseconds.
      */
-    takeReports(nodeId: string, reports: readonly LimitReport[], now: number): void {
+    applyReports(nodeId: string, reports: readonly LimitReport[], now: number): void {
         this.peerDemands.expire(now);
         this.peerDemands.apply(nodeId, reports.map(({ endpointId, demand }) => [endpointId, demand] as const), now);
         for (const { endpointId, requestsPerSecond, at } of reports) {
@@ -133,7 +133,7 @@
         rate.observe(now);
     }
 
-    /** Gets if the endpoint currently has a limit. */
+    /** Checks if the endpoint currently has a limit. */
     isLimited(endpointId: string): boolean {
         return this.limits.get(endpointId)?.requestsPerSecond !== undefined;
     }
@@ -153,8 +153,8 @@
     }
 
     /** Returns a request that was taken with {@link take} but not sent. */
-    giveBack(endpointId: string): void {
-        this.limits.get(endpointId)?.quota.giveBack();
+    refund(endpointId: string): void {
+        this.limits.get(endpointId)?.quota.refund();
     }
 
     /**
@@ -162,7 +162,7 @@
      * @param endpointIds - The endpoints that were skipped because of their limits.
      * @param now - Monotonic time in milliseconds.
      */
-    bookReturn(endpointIds: Iterable<string>, now: number): number {
+    bookRetry(endpointIds: Iterable<string>, now: number): number {
         let availableRequestsPerSecond = 0;
         for (const id of endpointIds) {
             const known = this.limits.get(id);
@@ -170,10 +170,10 @@
                 availableRequestsPerSecond += this.getShare(known, known.requestsPerSecond, now).requestsPerSecond;
             }
         }
-        return this.retrySchedule.book({
+        return this.retrySchedule.schedule({
             cost: 1,
             rate: availableRequestsPerSecond / secondMilliseconds,
-            excessMilliseconds: 0,
+            baseDelayMilliseconds: 0,
             now,
         });
     }
@@ -188,7 +188,7 @@
     }
 
     private updateLimit({ endpointId, requestsPerSecond, at }: EndpointLimit, source: LimitSource, now: number): void {
-        const { log, random, onNews } = this.options;
+        const { log, random, onSignificantChange: onNews } = this.options;
         const known = this.limits.get(endpointId);
         const previous = known?.requestsPerSecond;
         const { quota, demand, endpoint } = known ?? {
@@ -201,7 +201,7 @@
         if (previous === requestsPerSecond) {
             return;
         }
-        log.write(events.endpointLimited, {
+        log.write(events.endpointLimitChanged, {
             endpoint: endpointId,
             isLimited: requestsPerSecond !== undefined,
             requestsPerSecond: requestsPerSecond ?? 0,
--- a/src/request/relay/pipeShares.ts
+++ b/src/request/relay/linkPacer.ts
@@ -1,6 +1,6 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
-import { formatCrossing } from "./formatCrossing.ts";
-import { getCrossingBits } from "./getCrossingBits.ts";
+import { formatDataCentreLink } from "./formatDataCentreLink.ts";
+import { getActivationBits } from "./getActivationBits.ts";
 
 /** Bits per millisecond at a bandwidth of one megabit per second. */
 const bitsPerMillisecond = 1_000;
@@ -28,7 +28,7 @@
  *
  * Deterministic: depends only on its state and arguments. Times are monotonic, in milliseconds.
  */
-export class PipeShares {
+export class LinkPacer {
     private readonly uses = new Map<string, LinkUse>();
     private readonly getShare: () => number;
 
@@ -40,8 +40,8 @@
      * Creates the pacing of a node that has not used any link.
      * @param getShare - Gets this node's share of the demand of all nodes, above 0 and at most 1.
      */
-    static create(getShare: () => number): PipeShares {
-        return new PipeShares(getShare);
+    static create(getShare: () => number): LinkPacer {
+        return new LinkPacer(getShare);
     }
 
     /**
@@ -49,7 +49,7 @@
      * request ahead of its share, since requests arrive at a single node in bursts that even out over all nodes.
      */
     getWait(from: string, to: string, now: number): number {
-        const use = this.uses.get(formatCrossing(from, to));
+        const use = this.uses.get(formatDataCentreLink(from, to));
         return use === undefined ? 0 : Math.max(0, use.freeAt - use.lastMilliseconds - now);
     }
 
@@ -61,11 +61,11 @@
      * @param tokens - Tokens of the whole request, or of the context that is moved.
      * @param now - Monotonic time in milliseconds.
      */
-    take(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
-        const rate = model.pipeMegabits * bitsPerMillisecond * usableFraction * this.getShare();
-        const key = formatCrossing(from, to);
+    reserve(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
+        const rate = model.linkMegabitsPerSecond * bitsPerMillisecond * usableFraction * this.getShare();
+        const key = formatDataCentreLink(from, to);
         const start = Math.max(now, this.uses.get(key)?.freeAt ?? now);
-        const lastMilliseconds = getCrossingBits(model, tokens) / rate;
+        const lastMilliseconds = getActivationBits(model, tokens) / rate;
         this.uses.set(key, { freeAt: start + lastMilliseconds, lastMilliseconds });
     }
 }
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -1,10 +1,10 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
-import { assertTiling } from "./assertTiling.ts";
-import { chooseSoundStages } from "./chooseSoundStages.ts";
-import { getCrossingBits } from "./getCrossingBits.ts";
+import { assertValidChain } from "./assertValidChain.ts";
+import { chooseHealthyStages } from "./chooseHealthyStages.ts";
+import { getActivationBits } from "./getActivationBits.ts";
 import { getRequestMemory } from "./getRequestMemory.ts";
 import { listCandidates } from "./listCandidates.ts";
-import { listCrossings } from "./listCrossings.ts";
+import { listDataCentreLinks } from "./listDataCentreLinks.ts";
 import { listDataCentres } from "./listDataCentres.ts";
 import type { LoadReservation } from "./loadReservation.ts";
 import type { RegisteredEndpoint } from "./registeredEndpoint.ts";
@@ -20,9 +20,9 @@
     /** First stage of the chain, if a running request moves. */
     firstStage?: RelayStage;
     /** Whether endpoints without room for the request may be used. */
-    mayOverfill: boolean;
+    mayOvercommit: boolean;
     /** Fraction of each endpoint's memory that must stay free for other requests. Default: 0. */
-    sparePart?: number;
+    spareFraction?: number;
     /** Ids of endpoints whose rate limits rejected the request. */
     closed?: ReadonlySet<string>;
 }
@@ -57,7 +57,9 @@
     }
 
     /** Chooses the best chain, or returns undefined if there is none. */
-    choose({ avoid, firstStage, mayOverfill, sparePart = 0, closed }: ChainRequirements): RelayStage[] | undefined {
+    choose(
+        { avoid, firstStage, mayOvercommit, spareFraction = 0, closed }: ChainRequirements,
+    ): RelayStage[] | undefined {
         const { environment, model, task } = this;
         const now = environment.clock.getMonotonicTime();
         const query: StageQuery = {
@@ -65,24 +67,24 @@
             promptTokens: this.getPromptTokens(),
             answerTokens: this.getAnswerTokens(),
             dataCentre: environment.dataCentre,
-            pipeUse: this.getLinkUtilization(now),
+            linkUtilization: this.getLinkUtilization(now),
             firstStage,
-            mayOverfill,
-            sparePart,
+            mayOvercommit,
+            spareFraction,
             isConnected: address => environment.pools.getPool(address).hasIdle(),
-            getCrossingDelay: (from, to) => environment.crossings.getExtra(from, to, now),
-            getPipeWait: (from, to) => environment.pipeShares.getWait(from, to, now),
+            getCrossingDelay: (from, to) => environment.crossingDelays.getDelay(from, to, now),
+            getLinkWait: (from, to) => environment.linkPacer.getWait(from, to, now),
         };
         const candidates = listCandidates(environment, model, task.service.name)
             .filter(({ endpoint: { id } }) => !avoid.has(id) && closed?.has(id) !== true);
-        return chooseSoundStages(query, candidates, environment.random);
+        return chooseHealthyStages(query, candidates, environment.random);
     }
 
     /**
      * Chooses the best chain within the endpoints' rate limits and counts the request against the limit of its first stage, since only
      * the first stage receives the request from this node.
      */
-    chooseOpen(requirements: LimitedChainRequirements): RelayStage[] | undefined {
+    chooseWithinLimits(requirements: LimitedChainRequirements): RelayStage[] | undefined {
         const { limits, clock } = this.environment;
         const { closed } = requirements;
         let triedCount = 0;
@@ -100,19 +102,19 @@
         return undefined;
     }
 
-    /** Returns to the rate limit what {@link chooseOpen} took, if nothing is sent. */
-    giveBack(stages: readonly RelayStage[]): void {
-        this.environment.limits.giveBack(stages[0]!.endpoint.id);
+    /** Returns to the rate limit what {@link chooseWithinLimits} took, if nothing is sent. */
+    refundLimit(stages: readonly RelayStage[]): void {
+        this.environment.limits.refund(stages[0]!.endpoint.id);
     }
 
     /**
      * Gets the delay in milliseconds after which the caller should retry, if only rate limits prevent the request from starting.
      * Undefined otherwise.
      */
-    getLimitReturn({ avoid, closed }: Pick<LimitedChainRequirements, "avoid" | "closed">): number | undefined {
-        const isRateLimited = closed.size > 0 && this.choose({ avoid, closed, mayOverfill: true }) === undefined;
+    getLimitRetryDelay({ avoid, closed }: Pick<LimitedChainRequirements, "avoid" | "closed">): number | undefined {
+        const isRateLimited = closed.size > 0 && this.choose({ avoid, closed, mayOvercommit: true }) === undefined;
         const { limits, clock } = this.environment;
-        return isRateLimited ? limits.bookReturn(closed, clock.getMonotonicTime()) : undefined;
+        return isRateLimited ? limits.bookRetry(closed, clock.getMonotonicTime()) : undefined;
     }
 
     /** Excludes all rate-limited endpoints. */
@@ -130,16 +132,16 @@
      * @throws InvariantError if the chain doesn't run each layer exactly once and in order.
      */
     reserve(stages: readonly RelayStage[]): LoadReservation {
-        assertTiling(stages, this.model.layers);
-        const { loads, pipeLoad, pipeShares, clock, queue } = this.environment;
+        assertValidChain(stages, this.model.layers);
+        const { loads, linkTraffic, linkPacer, clock, queue } = this.environment;
         const tokens = this.getTokens();
         const now = clock.getMonotonicTime();
-        const crossings = listCrossings(listDataCentres(stages));
-        pipeLoad.add(crossings.length * getCrossingBits(this.model, tokens), now);
+        const crossings = listDataCentreLinks(listDataCentres(stages));
+        linkTraffic.add(crossings.length * getActivationBits(this.model, tokens), now);
         for (const { from, to } of crossings) {
-            pipeShares.take(from, to, this.model, tokens, now);
+            linkPacer.reserve(from, to, this.model, tokens, now);
         }
-        if (stages.some(({ endpoint }) => this.getMemoryPart(endpoint) > scarceMemoryFraction)) {
+        if (stages.some(({ endpoint }) => this.getUsedMemoryFraction(endpoint) > scarceMemoryFraction)) {
             queue.noteContention();
         }
         return loads.reserveStages(stages, tokens, now);
@@ -151,17 +153,17 @@
     }
 
     /**
-     * Gets if an idle system would have a chain for the request. Also true while no endpoint is known, since their list may not have
+     * Checks if an idle system would have a chain for the request. Also true while no endpoint is known, since their list may not have
      * arrived yet.
      */
     hasChain(avoid: ReadonlySet<string>): boolean {
         const { directory } = this.environment;
         return directory.getEndpoints(this.task.service.name).length === 0
-            || this.choose({ avoid, mayOverfill: true }) !== undefined;
+            || this.choose({ avoid, mayOvercommit: true }) !== undefined;
     }
 
     /** Gets the known used fraction of an endpoint's memory; 0 for an endpoint without layers. */
-    getMemoryPart({ id, kind: kindName, layers }: RegisteredEndpoint): number {
+    getUsedMemoryFraction({ id, kind: kindName, layers }: RegisteredEndpoint): number {
         const { loads, directory } = this.environment;
         const kind = this.model.kinds.get(kindName ?? "");
         if (kind === undefined || layers === undefined) {
@@ -173,17 +175,17 @@
 
     /** Estimates the utilization of the links between data centres from this node's traffic, since callers are spread over the nodes. */
     private getLinkUtilization(now: number): number {
-        const { pipeLoad, getNodeCount } = this.environment;
-        return pipeLoad.getRate(now) * getNodeCount() / (this.model.pipeMegabits * bitsPerMegabit);
+        const { linkTraffic, getNodeCount } = this.environment;
+        return linkTraffic.getRate(now) * getNodeCount() / (this.model.linkMegabitsPerSecond * bitsPerMegabit);
     }
 
     private getPromptTokens(): number {
-        return this.task.request.promptTokens || this.model.usualPromptTokens;
+        return this.task.request.promptTokens || this.model.typicalPromptTokens;
     }
 
     /** Gets the caller's estimate or the usual length, limited to the requested maximum. */
     private getAnswerTokens(): number {
         const { expectedAnswerTokens, maximumAnswerTokens } = this.task.request;
-        return Math.min(expectedAnswerTokens || this.model.usualAnswerTokens, maximumAnswerTokens || Infinity);
+        return Math.min(expectedAnswerTokens || this.model.typicalAnswerTokens, maximumAnswerTokens || Infinity);
     }
 }
--- a/src/request/relay/relayQueue.ts
+++ b/src/request/relay/relayQueue.ts
@@ -3,9 +3,9 @@
 import { events } from "../../process/logging/events.ts";
 import type { RandomSource } from "../../process/randomSource.ts";
 import type { StartDecision } from "../admission/start/startDecision.ts";
-import { StartLine } from "../admission/start/startLine.ts";
+import { StartQueue } from "../admission/start/startQueue.ts";
 import type { QueuedRelay } from "./queuedRelay.ts";
-import type { RelayPlace } from "./relayPlace.ts";
+import type { ReservedChain } from "./reservedChain.ts";
 
 /** Options of a {@link RelayQueue}. */
 interface RelayQueueOptions {
@@ -13,7 +13,7 @@
     random: RandomSource;
     log: EventLog;
     /** Called with each decision on a request, both on its arrival and after it waited. */
-    onDecided?(decision: StartDecision<RelayPlace>["kind"]): void;
+    onDecided?(decision: StartDecision<ReservedChain>["kind"]): void;
     /** Called when a request that waited is started, with its actual and its expected wait. */
     onWaited?(milliseconds: number, expectedMilliseconds: number): void;
 }
@@ -29,10 +29,10 @@
 /** Maximum time between reviews. Finds changes that cause no notification, such as the end of a suspicion. */
 const maximumReviewDelayMilliseconds = 50;
 
-/** Queue of requests for chains. Executes the decisions of {@link StartLine} and reviews them when something has changed. */
+/** Queue of requests for chains. Executes the decisions of {@link StartQueue} and reviews them when something has changed. */
 export class RelayQueue {
     private readonly options: RelayQueueOptions;
-    private readonly startQueue: StartLine<RelayPlace>;
+    private readonly startQueue: StartQueue<ReservedChain>;
     private timer: TimerHandle | undefined;
     private readonly waits = new Map<QueuedRelay, QueuedWait>();
     private isReviewDue = false;
@@ -40,7 +40,7 @@
 
     private constructor(options: RelayQueueOptions) {
         this.options = options;
-        this.startQueue = StartLine.create(options.random, options.clock.getMonotonicTime());
+        this.startQueue = StartQueue.create(options.random, options.clock.getMonotonicTime());
     }
 
     /** Creates an empty queue. */
@@ -49,7 +49,7 @@
     }
 
     /** Starts, queues or rejects a request. Starts and rejections take effect immediately. */
-    ask(relay: QueuedRelay): void {
+    submit(relay: QueuedRelay): void {
         const decision = this.startQueue.decideArrival(relay, this.getTime());
         this.options.onDecided?.(decision.kind);
         if (decision.kind !== "start") {
@@ -60,7 +60,7 @@
             const expectedMilliseconds = Math.round(decision.expectedMilliseconds);
             this.waits.set(relay, { since: this.getTime(), expectedMilliseconds });
             const waiting = this.startQueue.getLength();
-            this.options.log.write(events.relayWaits, { request: requestId, expectedMilliseconds, waiting });
+            this.options.log.write(events.relayQueued, { request: requestId, expectedMilliseconds, waiting });
             this.scheduleReview();
             return;
         }
@@ -85,12 +85,12 @@
 
     /** Counts a request that was started without the queue. */
     noteStart(): void {
-        this.startQueue.noteStart();
+        this.startQueue.recordStart();
     }
 
-    /** Records that a started request no longer uses its chain. See {@link StartLine.noteEnd}. */
+    /** Records that a started request no longer uses its chain. See {@link StartQueue.recordEnd}. */
     noteEnd(tokens: number, heldMilliseconds: number | undefined): void {
-        this.startQueue.noteEnd(tokens, heldMilliseconds, this.getTime());
+        this.startQueue.recordEnd(tokens, heldMilliseconds, this.getTime());
     }
 
     /** Records that nodes contend for room, before any request has to wait. */
@@ -98,8 +98,8 @@
         this.contendedAt = this.getTime();
     }
 
-    /** Gets if nodes contend for room, because requests had to wait recently or room was becoming scarce. */
-    isBusy(): boolean {
+    /** Checks if nodes contend for room, because requests had to wait recently or room was becoming scarce. */
+    isContended(): boolean {
         return this.getTime() - this.contendedAt < contentionMilliseconds;
     }
 
@@ -138,7 +138,7 @@
         this.timer = this.options.clock.setTimer(delay, () => this.review());
     }
 
-    private execute(relay: QueuedRelay, decision: StartDecision<RelayPlace>): void {
+    private execute(relay: QueuedRelay, decision: StartDecision<ReservedChain>): void {
         if (decision.kind === "start") {
             relay.start(decision.place);
         }
--- a/src/request/relay/streamAnswerReader.ts
+++ b/src/request/relay/streamAnswerReader.ts
@@ -38,7 +38,7 @@
     }
 
     /** Handles the answer's head. */
-    takeHead(status: number, headers: IncomingHttpHeaders): void {
+    handleHead(status: number, headers: IncomingHttpHeaders): void {
         const { protocol, requestId, onHead, onEnd } = this.options;
         this.head = protocol.readHead(status, headers, requestId);
         if (!this.head.isForRequest) {
@@ -49,7 +49,7 @@
     }
 
     /** Handles bytes of the answer's body. */
-    takeData(chunk: Buffer): void {
+    handleData(chunk: Buffer): void {
         const { head } = this;
         if (head === undefined) {
             return;
@@ -64,7 +64,7 @@
     }
 
     /** Handles the end of the answer's body. */
-    takeEnd(): void {
+    handleEnd(): void {
         const { head } = this;
         if (head !== undefined) {
             this.options.onEnd(this.createEnd(head));
@@ -76,7 +76,7 @@
             return { kind: "refused", head };
         }
         if (isSuccess(head)) {
-            return this.splitter.hasRest() ? { kind: "cut" } : { kind: "whole", head };
+            return this.splitter.hasIncompleteEvent() ? { kind: "cut" } : { kind: "whole", head };
         }
         // A success without a signature is not the endpoint's own answer and must not be forwarded to the caller.
         const answer = hasSuccessStatus(head) ? undefined : { head, body: Buffer.concat(this.chunks) };
--- a/tests/platform/documentPath.test.ts
+++ b/tests/platform/documentPath.test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { after, before, beforeEach, describe, it } from "node:test";
 import type { EndpointStandin } from "../../standins/router/endpointStandin.ts";
-import { RouterBench, type StartedNode } from "./routerBench.ts";
+import { RouterTestHarness, type StartedNode } from "./routerTestHarness.ts";
 
 describe("A document request on the platform", () => {
-    let harness: RouterBench;
+    let harness: RouterTestHarness;
     let node: StartedNode;
     let first: EndpointStandin;
     let second: EndpointStandin;
 
     before(async () => {
-        harness = await RouterBench.create();
+        harness = await RouterTestHarness.create();
         first = await harness.addEndpoint("first", "documents");
         second = await harness.addEndpoint("second", "documents");
         node = await harness.addNode();
@@ -58,7 +58,7 @@
     });
 
     it("is retried at another endpoint if the first one has not run it", async () => {
-        first.behaviour = { refuseWith: 503 };
+        first.behaviour = { refusalStatus: 503 };
         for (let count = 0; count < 6; count++) {
             assert.equal((await harness.send(node, "/unsafe/x")).status, 200);
         }
@@ -66,8 +66,8 @@
     });
 
     it("is rejected as not run if all endpoints reject it, with a retry delay", async () => {
-        first.behaviour = { refuseWith: 503 };
-        second.behaviour = { refuseWith: 429 };
+        first.behaviour = { refusalStatus: 503 };
+        second.behaviour = { refusalStatus: 429 };
         const answer = await harness.send(node, "/unsafe/x");
         assert.equal(answer.status, 503);
         assert.ok(Number(answer.headers["retry-after"]) > 0);
@@ -100,8 +100,8 @@
     });
 
     it("returns an endpoint's error response unchanged if it is not idempotent", async () => {
-        first.behaviour = { failWith: 500 };
-        second.behaviour = { failWith: 500 };
+        first.behaviour = { failureStatus: 500 };
+        second.behaviour = { failureStatus: 500 };
         const answer = await harness.send(node, "/unsafe/x");
         assert.equal(answer.status, 500);
         assert.match(answer.headers["response-seal"] as string, /^seal-/);
--- a/tests/platform/routerBench.ts
+++ b/tests/platform/routerTestHarness.ts
@@ -6,9 +6,9 @@
 import { KeyValueStore } from "../../platform/keyValueStore.ts";
 import { routerKeys } from "../../platform/routerKeys.ts";
 import { findFreePorts } from "../../scripts/deployment/findFreePorts.ts";
+import { EventLoopMonitor } from "../../src/process/loop/eventLoopMonitor.ts";
 import { getProcessorTime } from "../../src/process/loop/getProcessorTime.ts";
 import { InputBarrier } from "../../src/process/loop/inputBarrier.ts";
-import { LoopWatch } from "../../src/process/loop/loopWatch.ts";
 import { RendezvousOwners } from "../../src/process/membership/rendezvousOwners.ts";
 import { Metrics } from "../../src/process/metrics/metrics.ts";
 import { RouterNode } from "../../src/process/router/routerNode.ts";
@@ -43,7 +43,7 @@
 let requestCount = 0;
 
 /** Test harness with a store, endpoints and router nodes, all in this process and on loopback addresses. */
-export class RouterBench {
+export class RouterTestHarness {
     readonly store: KeyValueStandin;
     readonly endpoints = new Map<string, EndpointStandin>();
     readonly nodes: StartedNode[] = [];
@@ -53,8 +53,8 @@
     }
 
     /** Starts a store with a configuration. */
-    static async create(): Promise<RouterBench> {
-        const harness = new RouterBench(await KeyValueStandin.create());
+    static async create(): Promise<RouterTestHarness> {
+        const harness = new RouterTestHarness(await KeyValueStandin.create());
         harness.store.put("op/config", createConfiguration(1));
         return harness;
     }
@@ -68,7 +68,7 @@
         const endpoint = await EndpointStandin.create({
             id,
             layers,
-            onLayers: held => this.register(id, service, held),
+            onLayersChanged: held => this.register(id, service, held),
         });
         this.endpoints.set(id, endpoint);
         this.register(id, service, layers);
@@ -92,7 +92,7 @@
         const log = RecordingEventLog.create();
         const store = KeyValueStore.create(storeAddress, () => undefined);
         const barrier = InputBarrier.create();
-        const clock = LoopWatch.create({ clock: systemClock, barrier, log, getProcessorTime });
+        const clock = EventLoopMonitor.create({ clock: systemClock, barrier, log, getProcessorTime });
         const node = RouterNode.create({
             nodeId: `node-${this.nodes.length}`,
             version: "test",
--- a/tests/process/router/endpointRegistry.test.ts
+++ b/tests/process/router/endpointRegistry.test.ts
@@ -81,9 +81,9 @@
         const getEndpoint = () => registry.getEndpoints("model")[0]!;
         registry.applyRecord({ key: "1", revision: 1, text: "born 5" }, "store");
         const asked = getEndpoint();
-        registry.noteIncarnation(asked, 4);
+        registry.handleIncarnation(asked, 4);
         assert.equal(getEndpoint(), asked);
-        registry.noteIncarnation(asked, 8);
+        registry.handleIncarnation(asked, 8);
         assert.deepEqual(restarted, ["1@5"]);
         assert.equal(getEndpoint().layers, undefined);
         registry.applyRecord({ key: "1", revision: 2, text: "born 5" }, "store");
@@ -97,7 +97,7 @@
         for (const revision of [1, 2, 3]) {
             registry.applyRecord({ key: "1", revision, text: "broken" }, "store");
         }
-        const getCount = () => log.numbers.filter(number => number === events.endpointRecordBroken.number).length;
+        const getCount = () => log.numbers.filter(number => number === events.endpointRecordInvalid.number).length;
         assert.equal(getCount(), 1);
         registry.applyRecord({ key: "1", revision: 4, text: "ready" }, "store");
         assert.deepEqual(getIds(), ["1"]);
--- a/tests/request/relay/chooseStages.test.ts
+++ b/tests/request/relay/chooseStages.test.ts
@@ -1,13 +1,13 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { assertTiling } from "../../../src/request/relay/assertTiling.ts";
+import { assertValidChain } from "../../../src/request/relay/assertValidChain.ts";
 import { chooseStages } from "../../../src/request/relay/chooseStages.ts";
 import type { StageCandidate } from "../../../src/request/relay/stageCandidate.ts";
 import type { StageQuery } from "../../../src/request/relay/stageQuery.ts";
 import { createCandidate, relayModel, stageQuery } from "./relayModel.ts";
 
-const query: StageQuery = { ...stageQuery, mayOverfill: true };
+const query: StageQuery = { ...stageQuery, mayOvercommit: true };
 
 function choose(candidates: StageCandidate[], changes: Partial<StageQuery> = {}): string[] | undefined {
     return chooseStages({ ...query, ...changes }, candidates, () => 0)?.map(({ endpoint }) => endpoint.id);
@@ -17,7 +17,7 @@
     it("covers all layers when several endpoints hold the same ranges", () => {
         const candidates = [createCandidate("1", 0, 30), createCandidate("2", 30, 80), createCandidate("3", 30, 80)];
         const stages = chooseStages(query, candidates, () => 0);
-        assertTiling(stages!, relayModel.layers);
+        assertValidChain(stages!, relayModel.layers);
     });
 
     it("finds no chain if layers are missing", () => {
@@ -26,7 +26,7 @@
 
     it("runs a part of the held layers if the ranges of endpoints overlap", () => {
         const stages = chooseStages(query, [createCandidate("1", 0, 50), createCandidate("2", 30, 80)], () => 0);
-        assertTiling(stages!, relayModel.layers);
+        assertValidChain(stages!, relayModel.layers);
     });
 
     it("prefers replicas that have fewer requests, have free memory, or aren't slow", () => {
@@ -46,7 +46,7 @@
     it("uses an endpoint without free memory only if overfilling is allowed", () => {
         const candidates = [createCandidate("1", 0, 40), createCandidate("2", 40, 80, { tokenLayers: 4_500_000 })];
         assert.deepEqual(choose(candidates), ["1", "2"]);
-        assert.equal(choose(candidates, { mayOverfill: false }), undefined);
+        assert.equal(choose(candidates, { mayOvercommit: false }), undefined);
     });
 
     it("stays in the caller's data centre if the loads are equal", () => {
@@ -66,17 +66,17 @@
             createCandidate("3", 40, 80, { dataCentre: "b" }),
         ];
         assert.deepEqual(choose(candidates), ["1", "3"]);
-        assert.deepEqual(choose(candidates, { pipeUse: 0.9 }), ["1", "2"]);
+        assert.deepEqual(choose(candidates, { linkUtilization: 0.9 }), ["1", "2"]);
     });
 
     it("uses a link only if the node's share of it is free, unless the request must not wait", () => {
         const candidates = [createCandidate("1", 0, 40), createCandidate("2", 40, 80, { dataCentre: "b" })];
         const getPipeWait = (from: string, to: string) => from === "a" && to === "b" ? 100 : 0;
-        assert.deepEqual(choose(candidates, { mayOverfill: false }), ["1", "2"]);
-        assert.equal(choose(candidates, { mayOverfill: false, getPipeWait }), undefined);
-        assert.deepEqual(choose(candidates, { getPipeWait }), ["1", "2"]);
+        assert.deepEqual(choose(candidates, { mayOvercommit: false }), ["1", "2"]);
+        assert.equal(choose(candidates, { mayOvercommit: false, getLinkWait: getPipeWait }), undefined);
+        assert.deepEqual(choose(candidates, { getLinkWait: getPipeWait }), ["1", "2"]);
         const inOtherCentre = [...candidates, createCandidate("3", 0, 40, { dataCentre: "b" })];
-        assert.deepEqual(choose(inOtherCentre, { mayOverfill: false, getPipeWait }), ["3", "2"]);
+        assert.deepEqual(choose(inOtherCentre, { mayOvercommit: false, getLinkWait: getPipeWait }), ["3", "2"]);
     });
 
     it("avoids a link between data centres that has become slow", () => {
@@ -119,7 +119,7 @@
                         .map(([start, end], index) => createCandidate(String(index), start, end));
                     const stages = chooseStages(query, candidates, () => randoms.next().value!);
                     if (stages !== undefined) {
-                        assertTiling(stages, relayModel.layers);
+                        assertValidChain(stages, relayModel.layers);
                     }
                 },
             ),
--- a/tests/request/relay/refusalWatch.test.ts
+++ b/tests/request/relay/refusalDetector.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { EndpointHealth } from "../../../src/request/relay/endpointHealth.ts";
 import type { EndpointReport } from "../../../src/request/relay/endpointReport.ts";
-import { RefusalWatch } from "../../../src/request/relay/refusalWatch.ts";
+import { RefusalDetector } from "../../../src/request/relay/refusalDetector.ts";
 import { createSeededRandom } from "../../support/createSeededRandom.ts";
 import { FakeClock } from "../../support/fakeClock.ts";
 import { RecordingEventLog } from "../../support/recordingEventLog.ts";
@@ -28,7 +28,7 @@
     const clock = FakeClock.create();
     const reports = [report, later];
     let found = 0;
-    const watch = RefusalWatch.create({
+    const watch = RefusalDetector.create({
         health,
         clock,
         log: RecordingEventLog.create(),
@@ -77,7 +77,7 @@
     const clock = FakeClock.create();
     const nodes = Array.from({ length: 65 }, () => {
         const node = { health: EndpointHealth.create(random), hasNews: false };
-        const watch = RefusalWatch.create({
+        const watch = RefusalDetector.create({
             health: node.health,
             clock,
             log: RecordingEventLog.create(),
@@ -96,13 +96,13 @@
         const chosen = choose(sound);
         if (chosen < 16) {
             refused += 1;
-            health.addLoss(`e${chosen}`, now);
+            health.markUnavailable(`e${chosen}`, now);
             void watch.note(createEndpoint(`e${chosen}`));
         }
         for (const { node } of nodes) {
             // Running streams continue. Each node sends its suspicions to another node every 450 ms, or within 100 ms if it has news.
             for (let index = 0; index < 16; index += 1) {
-                node.health.noteAlive(`e${index}`, now);
+                node.health.markAlive(`e${index}`, now);
             }
             if (now % 450 !== 0 && !(node.hasNews && now % 100 === 0)) {
                 continue;
@@ -110,7 +110,7 @@
             node.hasNews = false;
             const peer = choose(nodes).node;
             for (const suspicion of node.health.getSuspicions(now)) {
-                peer.hasNews = peer.health.addSuspicion(suspicion, now) || peer.hasNews;
+                peer.hasNews = peer.health.applySuspicion(suspicion, now) || peer.hasNews;
             }
         }
         await clock.advance(5);
--- a/tests/request/relay/relayBench.ts
+++ b/tests/request/relay/relayBench.ts
@@ -1,15 +1,15 @@
 import { endpointProtocol } from "../../../platform/endpointProtocol.ts";
 import type { UpstreamListener } from "../../../src/connection/upstream/upstreamListener.ts";
 import { RetryBudget } from "../../../src/request/admission/retryBudget.ts";
-import { UsualDeadlines } from "../../../src/request/admission/start/usualDeadlines.ts";
+import { RetryDetector } from "../../../src/request/admission/start/retryDetector.ts";
 import type { AnswerSink } from "../../../src/request/relay/answerSink.ts";
-import { CrossingDelays } from "../../../src/request/relay/crossingDelays.ts";
 import { EndpointHealth } from "../../../src/request/relay/endpointHealth.ts";
 import { EndpointLoads } from "../../../src/request/relay/endpointLoads.ts";
 import { FirstEventTimes } from "../../../src/request/relay/firstEventTimes.ts";
 import { EndpointLimits } from "../../../src/request/relay/limits/endpointLimits.ts";
-import { PipeLoad } from "../../../src/request/relay/pipeLoad.ts";
-import { PipeShares } from "../../../src/request/relay/pipeShares.ts";
+import { LinkDelays } from "../../../src/request/relay/linkDelays.ts";
+import { LinkPacer } from "../../../src/request/relay/linkPacer.ts";
+import { LinkTraffic } from "../../../src/request/relay/linkTraffic.ts";
 import { RequestQuarantine } from "../../../src/request/relay/quarantine/requestQuarantine.ts";
 import type { RegisteredEndpoint } from "../../../src/request/relay/registeredEndpoint.ts";
 import type { RelayEnvironment } from "../../../src/request/relay/relayEnvironment.ts";
@@ -32,7 +32,7 @@
 /** Relay dependencies with fake connections that a test controls. */
 export class RelayBench {
     readonly clock = FakeClock.create();
-    readonly sendings: SentRequest[] = [];
+    readonly sentRequests: SentRequest[] = [];
     /** Final answers to the caller, such as `notRun` or `200`. */
     readonly answers: string[] = [];
     readonly environment: RelayEnvironment;
@@ -69,14 +69,17 @@
                 random,
                 chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
             }),
-            quarantine: RequestQuarantine.create({ log, getAliveTime: endpointId => health.getAliveTime(endpointId) }),
-            repeats: RetryBudget.create(0),
+            quarantine: RequestQuarantine.create({
+                log,
+                getAliveTime: endpointId => health.getLastAliveTime(endpointId),
+            }),
+            retryBudget: RetryBudget.create(0),
             queue,
             firstEvents: FirstEventTimes.create(),
-            deadlines: UsualDeadlines.create(),
-            crossings: CrossingDelays.create(),
-            pipeLoad: PipeLoad.create(),
-            pipeShares: PipeShares.create(() => 1),
+            deadlines: RetryDetector.create(),
+            crossingDelays: LinkDelays.create(),
+            linkTraffic: LinkTraffic.create(),
+            linkPacer: LinkPacer.create(() => 1),
             getNodeCount: () => 1,
         };
     }
@@ -94,7 +97,7 @@
             write: () => undefined,
             end: () => undefined,
             refuse: ({ reason }) => this.answers.push(reason),
-            cut: () => this.answers.push("cut"),
+            abort: () => this.answers.push("cut"),
         };
         return {
             request: {
@@ -119,8 +122,8 @@
                 kind,
                 services: [{ service: "model", weight: 1 }],
                 timeoutMilliseconds: 1_000,
-                objectiveMilliseconds: 100,
-                maximumGapMilliseconds: 200,
+                targetLatencyMilliseconds: 100,
+                maximumEventGapMilliseconds: 200,
                 maximumAttempts: 1,
                 priority: 1,
                 isPublic: true,
@@ -139,7 +142,7 @@
 
     private send(address: string, listener: UpstreamListener) {
         const sentRequest: SentRequest = { address, listener, sentAt: undefined, isAborted: false };
-        this.sendings.push(sentRequest);
+        this.sentRequests.push(sentRequest);
         return {
             abort: () => {
                 sentRequest.isAborted = true;
