--- a/bench/capacity/computeNodeTotals.ts
+++ b/bench/capacity/computeNodeTotals.ts
@@ -11,7 +11,7 @@
 // These constants repeat values of membershipService.ts, foxleadNode.ts, endpointService.ts and the membership folder in
 // src/process.
 const vmListReadsPerSecond = 1;
-/** Interval of the periodic reads of the configuration, which grows with the number of nodes as in `getStretch`. */
+/** Interval of the periodic reads of the configuration, which grows with the number of nodes as in `getIntervalFactor`. */
 const checkIntervalSeconds = 10 * nodes / maximumFullRateNodes;
 const observeRoundsPerSecond = 2;
 const observersPerEndpoint = 3;
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -68,11 +68,11 @@
             directory,
             loads,
             health,
-            refusals: { note: () => Promise.resolve() },
+            refusalDetector: { check: () => Promise.resolve() },
             limits: EndpointLimits.create({
                 log,
                 random,
-                chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
+                chooseSharers: () => ({ count: 1, includesAllNodes: true, includesThisNode: true }),
             }),
             quarantine,
             retryBudget: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
--- a/bench/recovery/foxleadRouter.ts
+++ b/bench/recovery/foxleadRouter.ts
@@ -39,7 +39,7 @@
             clock: systemClock,
             random,
             intervalMilliseconds: observeIntervalMilliseconds,
-            getStretch: () => 1,
+            getIntervalFactor: () => 1,
             isObserver: () => true,
             onStatus: (endpoint, status) =>
                 this.chooser.observeLoad({ ...status, endpoint, ageMilliseconds: status.loadAgeMilliseconds }),
--- a/src/connection/caller/callerServer.ts
+++ b/src/connection/caller/callerServer.ts
@@ -211,7 +211,7 @@
             if (!body.ok) {
                 return body;
             }
-            await new Promise<void>(resolve => this.barrier.pass(resolve));
+            await new Promise<void>(resolve => this.barrier.defer(resolve));
             return signal.aborted ? Err(RequestError.cancelled()) : await handler(context.val, body.val, writer);
         }
         catch (error) {
--- a/src/connection/endpoint/endpointObserver.ts
+++ b/src/connection/endpoint/endpointObserver.ts
@@ -16,7 +16,7 @@
      * Gets the factor by which the intervals of infrequent work grow with the number of nodes, so that its total over
      * all nodes stays constant. It is 1 for few nodes.
      */
-    getStretch(): number;
+    getIntervalFactor(): number;
     /** Gets if this node is an observer of an endpoint. */
     isObserver(endpoint: string): boolean;
     /** Called with each status of an engine. */
@@ -62,7 +62,7 @@
             return;
         }
         // An engine may be unreachable only for this node, so this node also checks those that it doesn't observe.
-        const isUnreachableRound = this.round % Math.ceil(this.options.getStretch()) === 0;
+        const isUnreachableRound = this.round % Math.ceil(this.options.getIntervalFactor()) === 0;
         this.round += 1;
         for (const endpoint of this.options.directory.getNames("engine")) {
             const isUnreachable = this.options.directory.getState(endpoint)?.state === "unreachable";
@@ -141,7 +141,7 @@
         const now = this.options.clock.getMonotonicTime();
         const last = this.published.get(report.endpoint);
         if (
-            last !== undefined && now - last.publishedAt < refreshMilliseconds * this.options.getStretch()
+            last !== undefined && now - last.publishedAt < refreshMilliseconds * this.options.getIntervalFactor()
             && !hasChanged(last.report, report)
         ) {
             return;
--- a/src/connection/upstream/upstreamConnection.ts
+++ b/src/connection/upstream/upstreamConnection.ts
@@ -16,7 +16,7 @@
      * Delays the first request until all input that arrived while the connection opened is read, since that input may
      * abort the request.
      */
-    barrier: Pick<InputBarrier, "pass">;
+    barrier: Pick<InputBarrier, "defer">;
     /** Called when the connection is idle again. */
     onIdle(): void;
     /** Called when the connection is closed. */
@@ -54,7 +54,7 @@
                     if (error === null) {
                         this.watchSocket(socket);
                     }
-                    options.barrier.pass(() => callback(...result));
+                    options.barrier.defer(() => callback(...result));
                 }),
             pipelining: 1,
             headersTimeout: 0,
--- a/src/connection/upstream/upstreamPool.ts
+++ b/src/connection/upstream/upstreamPool.ts
@@ -9,7 +9,7 @@
     /** host:port of the endpoint. */
     address: string;
     /** Delays requests until all input that has already arrived at the node is read, since it may abort them. */
-    barrier: Pick<InputBarrier, "pass">;
+    barrier: Pick<InputBarrier, "defer">;
     /** Called for each new connection. */
     onOpened(): void;
 }
@@ -64,7 +64,7 @@
         maximumIdleMilliseconds = Infinity,
     ): UpstreamExchange {
         let exchange: UpstreamExchange | undefined;
-        const deferred = this.options.barrier.pass(() => {
+        const deferred = this.options.barrier.defer(() => {
             exchange = this.acquire(maximumIdleMilliseconds).send(createRequest(), listener);
         });
         return {
--- a/src/connection/upstream/upstreamPools.ts
+++ b/src/connection/upstream/upstreamPools.ts
@@ -4,10 +4,10 @@
 /** The connection pools of this node, one per endpoint address. */
 export class UpstreamPools {
     private readonly pools = new Map<string, UpstreamPool>();
-    private readonly barrier: Pick<InputBarrier, "pass">;
+    private readonly barrier: Pick<InputBarrier, "defer">;
     private readonly onOpened: () => void;
 
-    private constructor(barrier: Pick<InputBarrier, "pass">, onOpened: () => void) {
+    private constructor(barrier: Pick<InputBarrier, "defer">, onOpened: () => void) {
         this.barrier = barrier;
         this.onOpened = onOpened;
     }
@@ -17,7 +17,7 @@
      * @param barrier - Delays requests until all input that has already arrived at the node is read.
      * @param onOpened - Called for each new connection.
      */
-    static create(barrier: Pick<InputBarrier, "pass">, onOpened: () => void): UpstreamPools {
+    static create(barrier: Pick<InputBarrier, "defer">, onOpened: () => void): UpstreamPools {
         return new UpstreamPools(barrier, onOpened);
     }
 
--- a/src/process/configurationService.ts
+++ b/src/process/configurationService.ts
@@ -20,13 +20,13 @@
      * Gets the factor by which the interval of periodic reads is lengthened, so that the total load of all nodes stays
      * constant; 1 for small fleets.
      */
-    getStretch(): number;
+    getIntervalFactor(): number;
     /** Called with each accepted version. */
     onAccepted(version: ConfigurationVersion): void;
 }
 
 /**
- * Interval of the full reads, multiplied by the stretch. They are a fallback, since heartbeats also carry the version.
+ * Interval of the full reads, multiplied by the interval factor. They are a fallback, since heartbeats also carry the version.
  */
 const checkIntervalMilliseconds = 10_000;
 /** Configuration before the first version is accepted; requests are refused until then. */
@@ -58,7 +58,7 @@
             clock,
             random,
             eventLog: log,
-            getCheckIntervalMilliseconds: () => checkIntervalMilliseconds * options.getStretch(),
+            getCheckIntervalMilliseconds: () => checkIntervalMilliseconds * options.getIntervalFactor(),
             onStoreBehind: stored => void this.restoreStored(stored),
         });
     }
--- a/src/process/endpointService.ts
+++ b/src/process/endpointService.ts
@@ -59,7 +59,7 @@
             clock: options.clock,
             random: options.random,
             intervalMilliseconds: observeIntervalMilliseconds,
-            getStretch: () => getIntervalFactor(options.view),
+            getIntervalFactor: () => getIntervalFactor(options.view),
             isObserver: endpoint => this.isObserver(endpoint),
             onStatus: (endpoint, status) => this.observeLoad(endpoint, status),
             onReport: report => void this.reports.add(report),
--- a/src/process/foxleadNode.ts
+++ b/src/process/foxleadNode.ts
@@ -92,7 +92,7 @@
             clock,
             random,
             log,
-            getStretch: () => getIntervalFactor(view),
+            getIntervalFactor: () => getIntervalFactor(view),
             onAccepted: version => this.applyVersion(version),
         });
         const getConfiguration = () => this.configurations.getConfiguration();
--- a/src/process/loop/eventLoopMonitor.ts
+++ b/src/process/loop/eventLoopMonitor.ts
@@ -8,7 +8,7 @@
     /** The clock whose timers are monitored. */
     clock: Clock;
     /** Defers late timers until all input that arrived before their expiry is read. */
-    barrier: Pick<InputBarrier, "pass">;
+    barrier: Pick<InputBarrier, "defer">;
     log: EventLog;
     /** Gets the processor time that this process has used, in milliseconds. */
     getProcessorTime(): number;
@@ -63,7 +63,7 @@
         let deferred: TimerHandle | undefined;
         const timer = this.options.clock.setTimer(delayMilliseconds, () => {
             if (this.checkTimer(dueAt)) {
-                deferred = this.options.barrier.pass(callback);
+                deferred = this.options.barrier.defer(callback);
                 return;
             }
             callback();
@@ -77,7 +77,7 @@
     }
 
     /** Gets the recent lag of the event loop in milliseconds; 0 if timers were on time. */
-    getLateness(): number {
+    getLag(): number {
         const { at, milliseconds } = this.latestLag;
         return this.getMonotonicTime() - at < recentMilliseconds ? milliseconds : 0;
     }
@@ -113,7 +113,7 @@
     }
 
     private recordLag(late: number, now: number): void {
-        this.latestLag = { at: now, milliseconds: Math.max(late, this.getLateness()) };
+        this.latestLag = { at: now, milliseconds: Math.max(late, this.getLag()) };
         if (now - this.loggedAt < logIntervalMilliseconds) {
             return;
         }
--- a/src/process/loop/inputBarrier.ts
+++ b/src/process/loop/inputBarrier.ts
@@ -51,7 +51,7 @@
      * Runs an action, in order, once all input that has arrived until now is read.
      * @returns A handle that cancels the action if it has not run.
      */
-    pass(action: () => void): TimerHandle {
+    defer(action: () => void): TimerHandle {
         const deferred: DeferredAction = { action, pollsLeft: requiredPolls, isCancelled: false };
         this.deferredActions.push(deferred);
         this.schedule();
--- a/src/process/router/chooseLimitSharers.ts
+++ b/src/process/router/chooseLimitSharers.ts
@@ -17,7 +17,7 @@
 /** Chooses the nodes that share an endpoint's rate limit: all nodes if they are few, otherwise nodes of its data centre first. */
 export function chooseLimitSharers({ endpoint, maximumSharers, nodeId, nodes, owners }: SharerQuery): LimitSharers {
     if (nodes.length <= maximumSharers) {
-        return { count: nodes.length, areAll: true, isOneOfThem: true };
+        return { count: nodes.length, includesAllNodes: true, includesThisNode: true };
     }
     const local: string[] = [];
     const remote: string[] = [];
@@ -27,5 +27,5 @@
     const key = `limit/${endpoint.id}`;
     const sharers = owners.getOwners(key, local, maximumSharers);
     sharers.push(...owners.getOwners(key, remote, maximumSharers - sharers.length));
-    return { count: sharers.length, areAll: false, isOneOfThem: sharers.includes(nodeId) };
+    return { count: sharers.length, includesAllNodes: false, includesThisNode: sharers.includes(nodeId) };
 }
--- a/src/process/router/requestRouter.ts
+++ b/src/process/router/requestRouter.ts
@@ -21,7 +21,7 @@
     holder: RoutingHolder;
     stalls: StallDetector;
     metrics: Metrics;
-    loop: Pick<EventLoopMonitor, "getLateness">;
+    loop: Pick<EventLoopMonitor, "getLag">;
 }
 
 /** Retry delay given to callers; a node without a configuration gets one within about this time. */
@@ -73,7 +73,7 @@
         const { deadlines, clock } = this.options.environment;
         const isReturn = deadlines.observeRequest(route.name, request.deadlineMilliseconds, clock.getMonotonicTime());
         const fingerprint = fingerprintRequest(request, customer);
-        const takenUpLateMilliseconds = this.options.loop.getLateness();
+        const takenUpLateMilliseconds = this.options.loop.getLag();
         this.relay({
             request,
             route,
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -219,7 +219,7 @@
             directory: this.registry,
             loads,
             health: this.health,
-            refusals: RefusalDetector.create({
+            refusalDetector: RefusalDetector.create({
                 health: this.health,
                 clock,
                 log,
--- a/src/process/router/routerNodeOptions.ts
+++ b/src/process/router/routerNodeOptions.ts
@@ -36,7 +36,7 @@
     /** Clock of all parts of the node, which measures the lag of the event loop. */
     clock: EventLoopMonitor;
     /** Delays outgoing messages until all received input is read. */
-    barrier: Pick<InputBarrier, "pass">;
+    barrier: Pick<InputBarrier, "defer">;
     random: RandomSource;
     log: EventLog;
     metrics: Metrics;
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -41,7 +41,7 @@
     const timelyUntil = isReturn
         ? -Infinity
         : request.arrivedAt + route.targetLatencyMilliseconds - reservedMilliseconds;
-    const closed = new Set<string>();
+    const rateLimited = new Set<string>();
     environment.limits.noteRequest(task.service.name, clock.getMonotonicTime());
     return {
         requestId: request.id,
@@ -58,7 +58,7 @@
                 avoid: avoided,
                 mayOvercommit: false,
                 spareFraction: sparePart,
-                closed,
+                rateLimited,
             });
             if (stages === undefined) {
                 return undefined;
@@ -70,7 +70,7 @@
             return { stages, reservation: chains.reserve(stages) };
         },
         isServable: () => chains.hasChain(avoided),
-        getLimitRetryMilliseconds: () => chains.getLimitRetryDelay({ avoid: avoided, closed }),
+        getLimitRetryMilliseconds: () => chains.getLimitRetryDelay({ avoid: avoided, rateLimited }),
         start,
         refuse,
     };
--- a/src/request/relay/limits/endpointLimits.ts
+++ b/src/request/relay/limits/endpointLimits.ts
@@ -217,10 +217,10 @@
     private getShare(known: KnownLimit, limit: number, now: number) {
         const totalBurst = burstRequests + limit * burstSeconds;
         const sharers = known.endpoint && this.options.chooseSharers(known.endpoint, Math.floor(totalBurst));
-        if (sharers?.isOneOfThem !== true) {
+        if (sharers?.includesThisNode !== true) {
             return { requestsPerSecond: 0, burst: 0 };
         }
-        const share = sharers.areAll ? this.getDemandShare(known, sharers.count, now) : 1 / sharers.count;
+        const share = sharers.includesAllNodes ? this.getDemandShare(known, sharers.count, now) : 1 / sharers.count;
         return {
             requestsPerSecond: Math.max(minimumRequestsPerSecond, limit * refillFraction) * share,
             burst: 1 + Math.max(0, totalBurst - sharers.count) * share,
--- a/src/request/relay/limits/limitSharers.ts
+++ b/src/request/relay/limits/limitSharers.ts
@@ -2,7 +2,7 @@
 export interface LimitSharers {
     count: number;
     /** Whether these are all live nodes. */
-    areAll: boolean;
+    includesAllNodes: boolean;
     /** Whether this node is one of them. */
-    isOneOfThem: boolean;
+    includesThisNode: boolean;
 }
--- a/src/request/relay/refusalDetector.ts
+++ b/src/request/relay/refusalDetector.ts
@@ -44,7 +44,7 @@
     }
 
     /** Checks why an endpoint refused a request although it was expected to have room. */
-    async note(endpoint: RegisteredEndpoint): Promise<void> {
+    async check(endpoint: RegisteredEndpoint): Promise<void> {
         const { id } = endpoint;
         if (this.checking.has(id)) {
             return;
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -24,13 +24,13 @@
     /** Fraction of each endpoint's memory that must stay free for other requests. Default: 0. */
     spareFraction?: number;
     /** Ids of endpoints whose rate limits rejected the request. */
-    closed?: ReadonlySet<string>;
+    rateLimited?: ReadonlySet<string>;
 }
 
 /** Requirements for a chain that the request is sent over, within the endpoints' rate limits. */
 interface LimitedChainRequirements extends ChainRequirements {
     /** Ids of endpoints whose rate limits rejected the request. The search adds to it. */
-    closed: Set<string>;
+    rateLimited: Set<string>;
 }
 
 const bitsPerMegabit = 1_000_000;
@@ -58,7 +58,7 @@
 
     /** Chooses the best chain, or returns undefined if there is none. */
     choose(
-        { avoid, firstStage, mayOvercommit, spareFraction = 0, closed }: ChainRequirements,
+        { avoid, firstStage, mayOvercommit, spareFraction = 0, rateLimited }: ChainRequirements,
     ): RelayStage[] | undefined {
         const { environment, model, task } = this;
         const now = environment.clock.getMonotonicTime();
@@ -76,7 +76,7 @@
             getLinkWait: (from, to) => environment.linkPacer.getWait(from, to, now),
         };
         const candidates = listCandidates(environment, model, task.service.name)
-            .filter(({ endpoint: { id } }) => !avoid.has(id) && closed?.has(id) !== true);
+            .filter(({ endpoint: { id } }) => !avoid.has(id) && rateLimited?.has(id) !== true);
         return chooseHealthyStages(query, candidates, environment.random);
     }
 
@@ -86,17 +86,17 @@
      */
     chooseWithinLimits(requirements: LimitedChainRequirements): RelayStage[] | undefined {
         const { limits, clock } = this.environment;
-        const { closed } = requirements;
+        const { rateLimited } = requirements;
         let triedCount = 0;
         for (let stages = this.choose(requirements); stages !== undefined; stages = this.choose(requirements)) {
             const { endpoint } = stages[0]!;
             if (limits.take(endpoint, clock.getMonotonicTime())) {
                 return stages;
             }
-            closed.add(endpoint.id);
+            rateLimited.add(endpoint.id);
             triedCount += 1;
             if (triedCount === maximumLimitedEndpointsTried) {
-                this.excludeLimited(closed);
+                this.excludeLimited(rateLimited);
             }
         }
         return undefined;
@@ -111,18 +111,21 @@
      * Gets the delay in milliseconds after which the caller should retry, if only rate limits prevent the request from starting.
      * Undefined otherwise.
      */
-    getLimitRetryDelay({ avoid, closed }: Pick<LimitedChainRequirements, "avoid" | "closed">): number | undefined {
-        const isRateLimited = closed.size > 0 && this.choose({ avoid, closed, mayOvercommit: true }) === undefined;
+    getLimitRetryDelay(
+        { avoid, rateLimited }: Pick<LimitedChainRequirements, "avoid" | "rateLimited">,
+    ): number | undefined {
+        const isRateLimited = rateLimited.size > 0
+            && this.choose({ avoid, rateLimited, mayOvercommit: true }) === undefined;
         const { limits, clock } = this.environment;
-        return isRateLimited ? limits.bookRetry(closed, clock.getMonotonicTime()) : undefined;
+        return isRateLimited ? limits.bookRetry(rateLimited, clock.getMonotonicTime()) : undefined;
     }
 
     /** Excludes all rate-limited endpoints. */
-    private excludeLimited(closed: Set<string>): void {
+    private excludeLimited(rateLimited: Set<string>): void {
         const { limits, directory } = this.environment;
         for (const { id } of directory.getEndpoints(this.task.service.name)) {
             if (limits.isLimited(id)) {
-                closed.add(id);
+                rateLimited.add(id);
             }
         }
     }
--- a/src/request/relay/relayEnvironment.ts
+++ b/src/request/relay/relayEnvironment.ts
@@ -29,7 +29,7 @@
     directory: RelayDirectory;
     loads: EndpointLoads;
     health: EndpointHealth;
-    refusals: Pick<RefusalDetector, "note">;
+    refusalDetector: Pick<RefusalDetector, "check">;
     /** Rate limits that endpoints set for all nodes together. */
     limits: EndpointLimits;
     retryBudget: RetryBudget;
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -230,7 +230,7 @@
     private resume(cause: string, isRetry: boolean): void {
         const { environment, chains, avoided, task } = this;
         environment.limits.noteRequest(task.service.name, this.getTime());
-        const stages = chains.chooseWithinLimits({ avoid: avoided, mayOvercommit: true, closed: new Set() });
+        const stages = chains.chooseWithinLimits({ avoid: avoided, mayOvercommit: true, rateLimited: new Set() });
         if (stages === undefined) {
             this.giveUp(`${cause} No other chain has room.`);
             return;
--- a/tests/connection/upstream/upstreamPool.test.ts
+++ b/tests/connection/upstream/upstreamPool.test.ts
@@ -30,7 +30,7 @@
         pool = UpstreamPool.create({
             address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
             barrier: {
-                pass: action => {
+                defer: action => {
                     deferredActions.add(action);
                     return { cancel: () => void deferredActions.delete(action) };
                 },
--- a/tests/process/loop/eventLoopMonitor.test.ts
+++ b/tests/process/loop/eventLoopMonitor.test.ts
@@ -31,7 +31,7 @@
         watch = EventLoopMonitor.create({
             clock: { getMonotonicTime: () => now, getWallTime: () => now, setTimer },
             barrier: {
-                pass: action => {
+                defer: action => {
                     passages.push(action);
                     return { cancel: () => void passages.splice(passages.indexOf(action), 1) };
                 },
@@ -52,7 +52,7 @@
         let runs = 0;
         watch.setTimer(250, () => runs++);
         runTimersAt(260);
-        assert.deepEqual([runs, lines.length, watch.getLateness()], [1, 0, 0]);
+        assert.deepEqual([runs, lines.length, watch.getLag()], [1, 0, 0]);
     });
 
     it("logs once by how much the event loop was late, and the longest work in that time", () => {
@@ -69,7 +69,7 @@
             job: "long",
             jobMilliseconds: 1_480,
         }]);
-        assert.equal(watch.getLateness(), 1_900);
+        assert.equal(watch.getLag(), 1_900);
     });
 
     it("defers a late timer until all earlier input is read", () => {
@@ -89,7 +89,7 @@
         watch.setTimer(50, () => undefined);
         runTimersAt(1_000);
         now = 2_000;
-        assert.equal(watch.getLateness(), 0);
+        assert.equal(watch.getLag(), 0);
     });
 
     it("attributes a delay only to work that ran during it", () => {
--- a/tests/process/loop/inputBarrier.test.ts
+++ b/tests/process/loop/inputBarrier.test.ts
@@ -23,7 +23,7 @@
     }
 
     const defer = (name: string, milliseconds = 0) =>
-        barrier.pass(() => {
+        barrier.defer(() => {
             now += milliseconds;
             ran.push(name);
         });
@@ -51,7 +51,7 @@
     it("runs no cancelled action, even if an earlier action cancelled it", () => {
         defer("first").cancel();
         let third = { cancel: (): void => undefined };
-        barrier.pass(() => third.cancel());
+        barrier.defer(() => third.cancel());
         third = defer("third");
         defer("fourth");
         poll();
--- a/tests/process/router/chooseLimitSharers.test.ts
+++ b/tests/process/router/chooseLimitSharers.test.ts
@@ -15,10 +15,10 @@
     const choose = (nodeId: string, most: number, id = "x") =>
         chooseLimitSharers({ endpoint: { id, dataCentre: "a" }, maximumSharers: most, nodeId, nodes, owners });
     const list = (most: number, id?: string) =>
-        nodes.map(({ nodeId }) => nodeId).filter(nodeId => choose(nodeId, most, id).isOneOfThem);
+        nodes.map(({ nodeId }) => nodeId).filter(nodeId => choose(nodeId, most, id).includesThisNode);
 
     it("chooses all nodes if they are few", () => {
-        assert.deepEqual(choose("n3", 12), { count: 12, areAll: true, isOneOfThem: true });
+        assert.deepEqual(choose("n3", 12), { count: 12, includesAllNodes: true, includesThisNode: true });
     });
 
     it("chooses the maximum number of nodes, consistently at each node, preferring the endpoint's data centre", () => {
--- a/tests/request/relay/limits/endpointLimits.test.ts
+++ b/tests/request/relay/limits/endpointLimits.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe("EndpointLimits", () => {
-    function create(sharers = { count: 1, areAll: true, isOneOfThem: true }) {
+    function create(sharers = { count: 1, includesAllNodes: true, includesThisNode: true }) {
         const lines: unknown[] = [];
         let news = 0;
         const limits = EndpointLimits.create({
@@ -50,7 +50,7 @@
     });
 
     it("allows all requests without a limit, and none if only other nodes share the limit", () => {
-        const { limits } = create({ count: 7, areAll: false, isOneOfThem: false });
+        const { limits } = create({ count: 7, includesAllNodes: false, includesThisNode: false });
         assert.ok(limits.take(endpoint, 0));
         limits.noteAnswer("x", 2, 0);
         assert.ok(!limits.take(endpoint, 10_000));
--- a/tests/request/relay/limits/limitBench.ts
+++ b/tests/request/relay/limits/limitBench.ts
@@ -85,8 +85,8 @@
             random: this.random,
             chooseSharers: (_endpointId, most) =>
                 most >= nodes
-                    ? { count: nodes, areAll: true, isOneOfThem: true }
-                    : { count: most, areAll: false, isOneOfThem: index < most },
+                    ? { count: nodes, includesAllNodes: true, includesThisNode: true }
+                    : { count: most, includesAllNodes: false, includesThisNode: index < most },
         });
     }
 
--- a/tests/request/relay/refusalDetector.test.ts
+++ b/tests/request/relay/refusalDetector.test.ts
@@ -35,7 +35,7 @@
         fetchReport: () => Promise.resolve(reports.shift()),
         onFound: () => found += 1,
     });
-    const noted = watch.note(endpoint);
+    const noted = watch.check(endpoint);
     await clock.advance(1_000);
     await noted;
     return { isKeptAway: health.isSuspect("e", 2_900), found };
@@ -97,7 +97,7 @@
         if (chosen < 16) {
             refused += 1;
             health.markUnavailable(`e${chosen}`, now);
-            void watch.note(createEndpoint(`e${chosen}`));
+            void watch.check(createEndpoint(`e${chosen}`));
         }
         for (const { node } of nodes) {
             // Running streams continue. Each node sends its suspicions to another node every 450 ms, or within 100 ms if it has news.
--- a/tests/request/relay/relayBench.ts
+++ b/tests/request/relay/relayBench.ts
@@ -63,11 +63,11 @@
             },
             loads: EndpointLoads.create(() => queue.wake()),
             health,
-            refusals: { note: () => Promise.resolve() },
+            refusalDetector: { check: () => Promise.resolve() },
             limits: EndpointLimits.create({
                 log,
                 random,
-                chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
+                chooseSharers: () => ({ count: 1, includesAllNodes: true, includesThisNode: true }),
             }),
             quarantine: RequestQuarantine.create({
                 log,
