--- a/bench/admission/benchGate.ts
+++ b/bench/admission/benchGate.ts
@@ -33,12 +33,12 @@
      * Creates an unbounded first-in, first-out queue without refusals. Waiting requests are dropped when their callers
      * disconnect.
      */
-    createFirstInFirstOut: (places: number): BenchGate => {
+    createFirstInFirstOut: (concurrencyLimit: number): BenchGate => {
         const waiting: { request: AdmissionRequest; onAdmit: (release: (tokens: number) => void) => void; }[] = [];
         let head = 0;
         let running = 0;
         const admitWaiting = (): void => {
-            while (running < places && head < waiting.length) {
+            while (running < concurrencyLimit && head < waiting.length) {
                 const next = waiting[head++];
                 if (next === undefined || next.request.signal?.aborted) {
                     continue;
--- a/bench/admission/measureCost.ts
+++ b/bench/admission/measureCost.ts
@@ -12,7 +12,7 @@
 
 interface CostCase {
     name: string;
-    places: number;
+    concurrencyLimit: number;
     /** Number of waiting requests, assigned to the customers in turn. */
     waiting: number;
     maximumQueueMilliseconds: number;
@@ -21,7 +21,7 @@
 /** Measures the wall-clock time of an admission with its release, and of a refusal. */
 export async function measureCost(): Promise<void> {
     console.log("\nCost per request in microseconds (median, minimum and maximum of 15 rounds of 4,000; wall clock)");
-    const base = { places: 64, maximumQueueMilliseconds: 1e9 };
+    const base = { concurrencyLimit: 64, maximumQueueMilliseconds: 1e9 };
     await measureCase({ name: "admitted and released, nothing waits", ...base, waiting: 0 });
     await measureCase({ name: "queued, admitted, released; 2,000 customers wait", ...base, waiting: 2_000 });
     await measureCase({
@@ -40,7 +40,7 @@
     const shared = { getConfiguration: () => configuration, clock, random: createRandom(1) };
     const admission = Admission.create({
         ...shared,
-        getConcurrencyLimit: () => options.places,
+        getConcurrencyLimit: () => options.concurrencyLimit,
         customerLimits: CustomerLimits.create(shared),
     });
     const tickets: AdmissionTicket[] = [];
@@ -55,7 +55,7 @@
     request(0);
     await clock.runUntil(1_000);
     tickets.pop()?.release({ tokens: 100 });
-    for (let index = 0; options.waiting > 0 && index < options.places + options.waiting; index++) {
+    for (let index = 0; options.waiting > 0 && index < options.concurrencyLimit + options.waiting; index++) {
         request(index);
     }
     await clock.runUntil(2_000);
--- a/bench/admission/measureFairness.ts
+++ b/bench/admission/measureFairness.ts
@@ -3,11 +3,11 @@
 import type { LoadResult } from "./loadResult.ts";
 import { runComparedLoad } from "./runComparedLoad.ts";
 
-const { places, millisecondsPerToken, meanTokens } = comparedRun;
+const { concurrencyLimit, millisecondsPerToken, meanTokens } = comparedRun;
 const maximumTokens = 1_000;
 const meanRunTokens = meanTokens * (1 - Math.exp(-maximumTokens / meanTokens));
 /** Capacity in requests per second. */
-const capacity = places * 1000 / millisecondsPerToken / meanRunTokens;
+const capacity = concurrencyLimit * 1000 / millisecondsPerToken / meanRunTokens;
 const large = "large";
 const isSmall = (customer: string): boolean => customer !== large;
 
--- a/bench/admission/measureGoodput.ts
+++ b/bench/admission/measureGoodput.ts
@@ -3,12 +3,12 @@
 import type { LoadResult } from "./loadResult.ts";
 import { runComparedLoad } from "./runComparedLoad.ts";
 
-const { places, millisecondsPerToken, meanTokens } = comparedRun;
+const { concurrencyLimit, millisecondsPerToken, meanTokens } = comparedRun;
 const durationMilliseconds = 330_000;
 const warmUpMilliseconds = 30_000;
 const customerCount = 10;
 /** Capacity in tokens per second. */
-const capacity = places * 1000 / millisecondsPerToken;
+const capacity = concurrencyLimit * 1000 / millisecondsPerToken;
 
 /** Options for one run: the gate, the load, and how long callers wait. */
 interface GoodputCase {
--- a/bench/admission/measureRetries.ts
+++ b/bench/admission/measureRetries.ts
@@ -3,7 +3,7 @@
 import { createBenchConfiguration } from "./createBenchConfiguration.ts";
 import { createRandom } from "./createRandom.ts";
 
-const places = 64;
+const concurrencyLimit = 64;
 const runMilliseconds = 1_000;
 const callers = 3_000;
 const binMilliseconds = 1_000;
@@ -21,7 +21,7 @@
 export async function measureRetries(): Promise<void> {
     console.log(
         `\nRetries: ${callers} callers within 100 ms, each of which retries until it is served; capacity`
-            + ` ${places} per second, maximum wait 2 s`,
+            + ` ${concurrencyLimit} per second, maximum wait 2 s`,
     );
     for (const kind of ["given delay", "fixed 1 s"]) {
         const { bins, served, servedAt } = await runRetries(kind === "given delay");
@@ -29,8 +29,8 @@
         const retryCount = retries.reduce((sum, count) => sum + count, 0);
         console.log([
             kind.padEnd(13),
-            `served ${served - places} of ${callers} in ${((servedAt - 2_000) / 1000).toFixed(1)} s`
-            + ` (capacity allows ${(callers / places).toFixed(1)} s)`,
+            `served ${served - concurrencyLimit} of ${callers} in ${((servedAt - 2_000) / 1000).toFixed(1)} s`
+            + ` (capacity allows ${(callers / concurrencyLimit).toFixed(1)} s)`,
             `retries ${retryCount}`,
             `maximum per second ${Math.max(...retries)}`,
         ].join(", "));
@@ -65,7 +65,7 @@
         });
     };
     // Runs before the burst let the admission control measure its drain rate.
-    for (let index = 0; index < places; index++) {
+    for (let index = 0; index < concurrencyLimit; index++) {
         send();
     }
     await clock.runUntil(2 * runMilliseconds);
@@ -85,6 +85,6 @@
         getConfiguration: () => configuration,
         clock,
         random: createRandom(4),
-        getConcurrencyLimit: () => places,
+        getConcurrencyLimit: () => concurrencyLimit,
     });
 }
--- a/bench/admission/runComparedLoad.ts
+++ b/bench/admission/runComparedLoad.ts
@@ -22,7 +22,7 @@
 
 /** Runs a constant load against one of the gates. */
 export function runComparedLoad({ kind, rates, ...load }: ComparedLoad): Promise<LoadResult> {
-    const { places, ...run } = comparedRun;
+    const { concurrencyLimit, ...run } = comparedRun;
     const clock = VirtualClock.create();
     const configuration = createBenchConfiguration(Object.fromEntries([...rates.keys()].map(name => [name, {}])));
     const gate = kind === "admission"
@@ -30,9 +30,9 @@
             getConfiguration: () => configuration,
             clock,
             random: createRandom(2),
-            getConcurrencyLimit: () => places,
+            getConcurrencyLimit: () => concurrencyLimit,
         })
-        : BenchGate.createFirstInFirstOut(places);
+        : BenchGate.createFirstInFirstOut(concurrencyLimit);
     const streams: LoadStream[] = [];
     for (const [customer, rate] of rates) {
         streams.push({ customer, getRequestsPerSecond: () => rate, maximumRequestsPerSecond: rate });
--- a/bench/experiment/experiment.ts
+++ b/bench/experiment/experiment.ts
@@ -133,7 +133,7 @@
     private send(request: SimulatedRequest, attempt: number, deadlineMilliseconds: number, sink: AnswerSink): void {
         const { environment } = this.nodes[Math.floor(this.random() * this.nodes.length)]!;
         const now = this.clock.getMonotonicTime();
-        const isReturn = environment.deadlines.observeRequest(route.name, deadlineMilliseconds, now);
+        const isReturn = environment.retryDetector.observeRequest(route.name, deadlineMilliseconds, now);
         const task = {
             request: {
                 id: `${request.id}-${attempt}`,
--- a/bench/experiment/simulatedCaller.ts
+++ b/bench/experiment/simulatedCaller.ts
@@ -24,8 +24,8 @@
     wasRefused: boolean;
 }
 
-const objectiveMilliseconds = 500;
-const maximumGapMilliseconds = 200;
+const targetLatencyMilliseconds = 500;
+const maximumEventGapMilliseconds = 200;
 /** Time without an event after which a caller closes its stream. */
 const silenceTimeoutMilliseconds = 2_000;
 /** Largest part of its remaining time that a caller waits before a retry. */
@@ -108,7 +108,7 @@
 
     private meetsObjectives(): boolean {
         const first = (this.firstEventAt ?? Infinity) - this.sentAt;
-        return first <= objectiveMilliseconds && this.longestGap <= maximumGapMilliseconds;
+        return first <= targetLatencyMilliseconds && this.longestGap <= maximumEventGapMilliseconds;
     }
 
     private restartSilenceTimer(onSilent: () => void): void {
--- a/bench/experiment/simulatedEngines.ts
+++ b/bench/experiment/simulatedEngines.ts
@@ -154,8 +154,8 @@
         let time = 0;
         for (const [index, engine] of run.engines.entries()) {
             const next = run.engines[index + 1];
-            const isCrossing = next !== undefined && next.endpoint.dataCentre !== engine.endpoint.dataCentre;
-            time += engine.getEventMilliseconds() + (isCrossing ? model.stepsPerPass * model.linkDelayMilliseconds : 0);
+            const usesLink = next !== undefined && next.endpoint.dataCentre !== engine.endpoint.dataCentre;
+            time += engine.getEventMilliseconds() + (usesLink ? model.stepsPerPass * model.linkDelayMilliseconds : 0);
         }
         return time;
     }
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -46,7 +46,7 @@
         const log = { write: () => undefined };
         const queue = RelayQueue.create({ clock, random, log });
         const loads = EndpointLoads.create(() => queue.wake());
-        const deadlines = RetryDetector.create();
+        const retryDetector = RetryDetector.create();
         const health = EndpointHealth.create();
         const quarantine = RequestQuarantine.create({
             log,
@@ -78,13 +78,13 @@
             retryBudget: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
             queue,
             firstEvents: FirstEventTimes.create(),
-            deadlines,
-            crossingDelays: LinkDelays.create(),
+            retryDetector,
+            linkDelays: LinkDelays.create(),
             linkTraffic: LinkTraffic.create(),
             linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), nodeCount)),
             getNodeCount: () => nodeCount,
         };
-        this.switchOffMechanisms(loads, deadlines, queue);
+        this.disableMechanisms(loads, retryDetector, queue);
     }
 
     /** Creates a node without requests. */
@@ -115,7 +115,7 @@
         }
     }
 
-    private switchOffMechanisms(loads: EndpointLoads, deadlines: RetryDetector, queue: RelayQueue): void {
+    private disableMechanisms(loads: EndpointLoads, retryDetector: RetryDetector, queue: RelayQueue): void {
         if (this.without.has(Mechanism.MemoryLimit)) {
             loads.getAvailableMemory = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
         }
@@ -123,11 +123,11 @@
             loads.markFull = (endpointId, now) => this.environment.health.markUnavailable(endpointId, now);
         }
         if (this.without.has(Mechanism.RetryDetection)) {
-            deadlines.observeRequest = () => false;
+            retryDetector.observeRequest = () => false;
         }
         if (this.without.has(Mechanism.Timeliness)) {
-            const { submit: ask } = queue;
-            queue.submit = relay => ask.call(queue, { ...relay, latestOnTimeStart: Infinity });
+            const { submit } = queue;
+            queue.submit = relay => submit.call(queue, { ...relay, latestOnTimeStart: Infinity });
         }
     }
 }
--- a/bench/policy/loadDriver.ts
+++ b/bench/policy/loadDriver.ts
@@ -11,7 +11,7 @@
 import { TokenRecorder } from "./tokenRecorder.ts";
 
 /** Size of one token on a link. */
-const tokenBytes = 4;
+const bytesPerToken = 4;
 const reportIntervalMilliseconds = 200;
 /** Data centre of each node. The nodes decide independently. */
 const nodeDataCentres = ["a", "b", "c", "a", "b", "c"] as const;
@@ -132,7 +132,7 @@
         const layers = stage.layerEnd - stage.layerStart;
         const sentAt = this.clock.getMonotonicTime();
         const finish = (queue: number) => {
-            this.links.send(engineDataCentre, nodeDataCentre, isLast ? tokenBytes : positions * hiddenBytes, () => {
+            this.links.send(engineDataCentre, nodeDataCentre, isLast ? bytesPerToken : positions * hiddenBytes, () => {
                 sequence.node.chooser.observePass({
                     endpoint: stage.endpoint,
                     layers,
@@ -148,14 +148,19 @@
                 }
             });
         };
-        this.links.send(nodeDataCentre, engineDataCentre, positions * (index === 0 ? tokenBytes : hiddenBytes), () => {
-            this.engines.get(stage.endpoint)?.addPass({
-                positions,
-                layerStart: stage.layerStart,
-                layerEnd: stage.layerEnd,
-                finish,
-            });
-        });
+        this.links.send(
+            nodeDataCentre,
+            engineDataCentre,
+            positions * (index === 0 ? bytesPerToken : hiddenBytes),
+            () => {
+                this.engines.get(stage.endpoint)?.addPass({
+                    positions,
+                    layerStart: stage.layerStart,
+                    layerEnd: stage.layerEnd,
+                    finish,
+                });
+            },
+        );
     }
 
     private acceptToken(sequence: Sequence, positions: number): void {
--- a/bench/recovery/measureNodeDeath.ts
+++ b/bench/recovery/measureNodeDeath.ts
@@ -88,7 +88,8 @@
     }
 }
 
-function isCorrect(deployment: LocalDeployment, prompt: string, { isComplete: isWhole, text }: ChatOutcome): boolean {
+function isCorrect(deployment: LocalDeployment, prompt: string, { isComplete, text }: ChatOutcome): boolean {
     const { modelLayers } = deployment;
-    return isWhole && text === computeReferenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
+    return isComplete
+        && text === computeReferenceAnswer({ modelLayers, prompt: `user: ${prompt}`, maximumTokens }).text;
 }
--- a/scripts/account.ts
+++ b/scripts/account.ts
@@ -32,9 +32,9 @@
         { from, asked, inTime, lost },
     ) => [String(from), String(asked), String(inTime), formatMostFrequent(lost)]),
 ]);
-const [whole] = accountRequests(ends, Infinity);
-console.log(`\n${whole?.inTime ?? 0} of ${whole?.asked ?? 0} in time; the others by reason:`);
-printTable(whole?.lost.slice(0, maximumReasons).map(([reason, count]) => [String(count), reason]) ?? []);
+const [total] = accountRequests(ends, Infinity);
+console.log(`\n${total?.inTime ?? 0} of ${total?.asked ?? 0} in time; the others by reason:`);
+printTable(total?.lost.slice(0, maximumReasons).map(([reason, count]) => [String(count), reason]) ?? []);
 console.log("\nBy route:");
 printTable([...Map.groupBy(ends, ({ route }) => route)].map(([route, endsOfRoute]) => {
     const [all] = accountRequests(endsOfRoute, Infinity);
--- a/scripts/deployment/sendChat.ts
+++ b/scripts/deployment/sendChat.ts
@@ -72,7 +72,7 @@
         await readStream(response.body, startedAt, outcome, options);
         return outcome;
     }
-    const body = await readWhole(response.body, outcome);
+    const body = await readCompletion(response.body, outcome);
     outcome.firstTokenMilliseconds = performance.now() - startedAt;
     if (body !== undefined) {
         outcome.text = body.choices?.[0]?.message.content ?? "";
@@ -90,7 +90,7 @@
 }
 
 /** The parts of a response without streaming that are read here. */
-interface WholeBody {
+interface CompletionBody {
     choices?: { message: { content: string; }; }[];
     error?: ErrorPart;
 }
@@ -124,12 +124,12 @@
     outcome.errorMessage = error.message;
 }
 
-async function readWhole(
+async function readCompletion(
     body: { json(): Promise<unknown>; },
     outcome: ChatOutcome,
-): Promise<WholeBody | undefined> {
+): Promise<CompletionBody | undefined> {
     try {
-        return await body.json() as WholeBody;
+        return await body.json() as CompletionBody;
     }
     catch (error) {
         outcome.errorMessage = String(error);
--- a/scripts/soak/nodeFleet.ts
+++ b/scripts/soak/nodeFleet.ts
@@ -15,7 +15,7 @@
     isTaken: boolean;
     /** Whether the process is expected to exit. */
     isEnding: boolean;
-    hasEnded: boolean;
+    isStopped: boolean;
 }
 
 const healthCheckIntervalMilliseconds = 200;
@@ -50,7 +50,7 @@
 
     /** Gets the nodes whose process is running. */
     getLive(): readonly FleetNode[] {
-        return this.all.filter(({ hasEnded }) => !hasEnded);
+        return this.all.filter(({ isStopped: hasEnded }) => !hasEnded);
     }
 
     /** Chooses a node as the load balancer does, avoiding the node named `except` if there is another one. */
@@ -86,7 +86,7 @@
         fleetNode.isEnding = true;
         fleetNode.node.process.signal("SIGKILL");
         await fleetNode.node.process.exited;
-        await this.forget(fleetNode);
+        await this.remove(fleetNode);
     }
 
     /** Stops a node gracefully while the load balancer may still send requests to it, and checks its exit code. */
@@ -99,7 +99,7 @@
             const message = `Node ${node.name} exited with ${code} after a graceful stop.`;
             this.violations.add({ kind: "gracefulStopFailed", message, from, to: Date.now(), names: [node.name] });
         }
-        await this.forget(fleetNode);
+        await this.remove(fleetNode);
     }
 
     /** Stops the health checks. */
@@ -107,8 +107,8 @@
         clearInterval(this.timer);
     }
 
-    private async forget(fleetNode: FleetNode): Promise<void> {
-        fleetNode.hasEnded = true;
+    private async remove(fleetNode: FleetNode): Promise<void> {
+        fleetNode.isStopped = true;
         fleetNode.isInRotation = false;
         await this.deployment.removeNode(fleetNode.node);
     }
@@ -120,11 +120,11 @@
             isInRotation,
             isTaken: false,
             isEnding: false,
-            hasEnded: false,
+            isStopped: false,
         };
         this.all.push(fleetNode);
         void node.process.exited.then(code => {
-            fleetNode.hasEnded = true;
+            fleetNode.isStopped = true;
             if (!fleetNode.isEnding) {
                 const message = `Node ${node.name} exited unexpectedly with ${code}.`;
                 this.violations.addNow("nodeCrashed", message, [node.name]);
--- a/src/process/commandLine/explain/createExplainCommand.ts
+++ b/src/process/commandLine/explain/createExplainCommand.ts
@@ -2,8 +2,8 @@
 import type { CommandModule } from "yargs";
 import type { CommandContext } from "../commandContext.ts";
 import { ExitCode } from "../exitCode.ts";
+import { findRequestLog } from "./findRequestLog.ts";
 import { formatRequestLog } from "./formatRequestLog.ts";
-import { findRequestLog } from "./requestStory.ts";
 
 const standardInputDescriptor = 0;
 
--- a/src/process/configurationService.ts
+++ b/src/process/configurationService.ts
@@ -87,19 +87,19 @@
     }
 
     private async restoreStored(stored: StoredValue | undefined): Promise<void> {
-        const held = this.follower.getCurrent();
-        if (held === undefined) {
+        const current = this.follower.getCurrent();
+        if (current === undefined) {
             return;
         }
         const { store, clock, log } = this.options;
         const restored = await restoreStoredConfiguration({
             store,
-            current: held,
+            current,
             stored,
             wallTime: clock.getWallTime(),
         });
         if (restored.ok && restored.val.swapped) {
-            log.write(events.configurationRestored, { version: held.version });
+            log.write(events.configurationRestored, { version: current.version });
         }
     }
 }
--- a/src/process/placement/chooseLoads.ts
+++ b/src/process/placement/chooseLoads.ts
@@ -38,10 +38,12 @@
     const dataCentres = new Map(endpoints.map(({ id, dataCentre }) => [id, dataCentre]));
     const ranked = assignments.map(assignment => {
         const dataCentre = dataCentres.get(assignment.endpointId);
-        const isWhole = columns.some(({ layers }) => isSameRange(assignment.layers, layers));
-        return { assignment, missing: countMissingColumns(columns, endpoints, dataCentre), isWhole };
+        const isCompleteColumn = columns.some(({ layers }) => isSameRange(assignment.layers, layers));
+        return { assignment, missing: countMissingColumns(columns, endpoints, dataCentre), isCompleteColumn };
     });
-    ranked.sort((left, right) => left.missing - right.missing || Number(right.isWhole) - Number(left.isWhole));
+    ranked.sort((left, right) =>
+        left.missing - right.missing || Number(right.isCompleteColumn) - Number(left.isCompleteColumn)
+    );
     return ranked.slice(0, Math.max(0, loadsAtOnce - activeLoads)).map(({ assignment }) => assignment);
 }
 
--- a/src/process/placement/placementController.ts
+++ b/src/process/placement/placementController.ts
@@ -30,7 +30,7 @@
     /** Gets if this node would try to acquire the lease when orders are due. */
     isCandidate(): boolean;
     clock: Clock;
-    /** Runs a synchronous task that may take long; see `LoopWatch.run`. */
+    /** Runs a synchronous task that may take long; see `EventLoopMonitor.run`. */
     runLong<Result>(name: string, action: () => Result): Result;
     log: EventLog;
     /** Prefix of the keys of plans in the store, followed by the name of the service. */
--- a/src/process/placement/searchColumns.ts
+++ b/src/process/placement/searchColumns.ts
@@ -150,7 +150,7 @@
 
 /** Gets the highest rate of requests that the shares sustain, in requests per millisecond. */
 function getSustainedRate(model: EngineModel, context: SearchContext, shares: readonly KindShare[]): number {
-    const usualTokens = getMeanContext(model);
+    const typicalTokens = getMeanContext(model);
     let inProgress = Infinity;
     let rateByTime = Infinity;
     for (const share of shares) {
@@ -160,7 +160,7 @@
         const replicas = Math.floor(share.count / share.columns);
         const effectiveReplicas = replicas > 1 ? replicas - 1 : singleReplicaCapacity;
         const memory = getRequestMemory(model, share.kind, Math.ceil(share.layers));
-        const requestsInMemory = memory / (usualTokens * share.layers);
+        const requestsInMemory = memory / (typicalTokens * share.layers);
         const usableRequests = Math.max(0, requestsInMemory - freeStandardDeviations * Math.sqrt(requestsInMemory));
         inProgress = Math.min(inProgress, effectiveReplicas * Math.min(usableRequests, model.slots));
         const work = createWork(share, 0);
@@ -170,28 +170,28 @@
     if (inProgress === Infinity) {
         return 0;
     }
-    const crossings = getCrossings(context, shares);
+    const linkCount = estimateLinkCount(context, shares);
     const transfer = getTransferTime(model, model.typicalPromptTokens + model.typicalAnswerTokens);
-    const rateByBandwidth = crossings === 0 ? Infinity : maximumUtilization / (crossings * transfer);
-    const crossingDuration = transfer / maximumUtilization + model.typicalAnswerTokens * model.linkDelayMilliseconds;
-    const duration = getDuration(model, shares, inProgress) + crossings * crossingDuration;
+    const rateByBandwidth = linkCount === 0 ? Infinity : maximumUtilization / (linkCount * transfer);
+    const linkDuration = transfer / maximumUtilization + model.typicalAnswerTokens * model.linkDelayMilliseconds;
+    const duration = getDuration(model, shares, inProgress) + linkCount * linkDuration;
     return Math.min(inProgress / duration, rateByTime, rateByBandwidth);
 }
 
 /**
- * Estimates how often a chain crosses between data centres. Between columns of one kind it crosses if a column has
+ * Estimates how many links between data centres a chain uses. Between columns of one kind it uses one if a column has
  * fewer replicas than there are data centres; between kinds, to the extent that data centres lack endpoints of one of
  * them.
  */
-function getCrossings(context: SearchContext, shares: readonly KindShare[]): number {
+function estimateLinkCount(context: SearchContext, shares: readonly KindShare[]): number {
     const used = shares.filter(({ columns }) => columns > 0);
     const { dataCentres } = context;
     const remoteFraction = 1 - Math.min(1, capacityFactor * getLocalFraction(context, used));
-    let crossings = (used.length - 1) * remoteFraction;
+    let linkCount = (used.length - 1) * remoteFraction;
     for (const { count, columns } of used) {
-        crossings += (columns - 1) * Math.max(0, 1 - Math.floor(count / columns) / dataCentres);
+        linkCount += (columns - 1) * Math.max(0, 1 - Math.floor(count / columns) / dataCentres);
     }
-    return crossings;
+    return linkCount;
 }
 
 /** Gets the fraction of requests that could stay in one data centre if all endpoints were fully used. */
--- a/src/process/router/requestRouter.ts
+++ b/src/process/router/requestRouter.ts
@@ -19,7 +19,7 @@
 interface RequestRouterOptions {
     environment: RelayEnvironment;
     holder: RoutingHolder;
-    stalls: StallDetector;
+    stallDetector: StallDetector;
     metrics: Metrics;
     loop: Pick<EventLoopMonitor, "getLag">;
 }
@@ -70,8 +70,12 @@
         const dueAt = request.arrivedAt
             + Math.min(route.timeoutMilliseconds, request.deadlineMilliseconds ?? Infinity);
         const rank = state.getCustomerRank(customer) ?? route.priority;
-        const { deadlines, clock } = this.options.environment;
-        const isReturn = deadlines.observeRequest(route.name, request.deadlineMilliseconds, clock.getMonotonicTime());
+        const { retryDetector, clock } = this.options.environment;
+        const isReturn = retryDetector.observeRequest(
+            route.name,
+            request.deadlineMilliseconds,
+            clock.getMonotonicTime(),
+        );
         const fingerprint = fingerprintRequest(request, customer);
         const takenUpLateMilliseconds = this.options.loop.getLag();
         this.relay({
@@ -89,7 +93,7 @@
     }
 
     private relay(task: RelayTask): void {
-        const { environment, stalls, metrics } = this.options;
+        const { environment, stallDetector, metrics } = this.options;
         const { request, service } = task;
         environment.retryBudget.observeRequest();
         metrics.relaysInProgress.inc();
@@ -103,10 +107,10 @@
             return;
         }
         const relay = StreamRelay.create(environment, task, service.engine, () => {
-            stalls.remove(relay);
+            stallDetector.remove(relay);
             finish();
         });
-        stalls.add(relay);
+        stallDetector.add(relay);
         relay.start();
     }
 
--- a/src/process/router/routerNode.ts
+++ b/src/process/router/routerNode.ts
@@ -62,10 +62,10 @@
     private readonly storeWatch: StoreWatchController;
     private readonly exchange: PeerExchange;
     private readonly lease: FencedLease;
-    private readonly duty: PlacementController;
+    private readonly placementController: PlacementController;
     private readonly router: RequestRouter;
-    private readonly poll: EndpointPoller;
-    private readonly stalls: StallDetector;
+    private readonly endpointPoller: EndpointPoller;
+    private readonly stallDetector: StallDetector;
     private readonly queue: RelayQueue;
     private readonly loads: EndpointLoads;
     private readonly quarantinePersister: QuarantinePersister;
@@ -74,13 +74,13 @@
     private peerServer: FramedServer | undefined;
     private isDraining = false;
     private cleanupTimer: TimerHandle | undefined;
-    private readonly nodeCount: SlidingMaximum;
+    private readonly maximumNodeCount: SlidingMaximum;
 
     private constructor(options: RouterNodeOptions) {
         this.options = options;
         const { settings, clock, random, log, store, keys, metrics, protocol, nodeId } = options;
         this.health = EndpointHealth.create(random);
-        this.nodeCount = SlidingMaximum.create(initialNodeCount, clock.getMonotonicTime());
+        this.maximumNodeCount = SlidingMaximum.create(initialNodeCount, clock.getMonotonicTime());
         this.queue = RelayQueue.create({
             clock,
             random,
@@ -96,10 +96,10 @@
         this.limits = EndpointLimits.create({
             log,
             random,
-            chooseSharers: (endpoint, most) => {
+            chooseSharers: (endpoint, maximumSharers) => {
                 const self = { nodeId, dataCentre: settings.dataCentre };
                 const nodes = [self, ...this.nodes.getLiveNodes(clock.getMonotonicTime())];
-                return chooseLimitSharers({ endpoint, maximumSharers: most, nodeId, nodes, owners: options.owners });
+                return chooseLimitSharers({ endpoint, maximumSharers, nodeId, nodes, owners: options.owners });
             },
             onSignificantChange: () => {
                 queue.wake();
@@ -135,7 +135,7 @@
             drainMilliseconds: settings.drainMilliseconds,
             getLastStoreFailure: () => this.storeWatch.getLastFailure(),
             onChange: () => this.scheduleCleanup(),
-            onRestart: earlier => this.stalls.handleEndpointRestart(earlier),
+            onRestart: earlier => this.stallDetector.handleEndpointRestart(earlier),
         });
         const configuration = RecordSection.create({
             name: "configuration",
@@ -175,7 +175,7 @@
             callStore: () => store.isAnswering(),
             configurationMilliseconds: settings.configurationMilliseconds,
             isSeed: settings.seeds.length === 0 || settings.seeds.includes(settings.peerListener),
-            hasPlacementWork: () => this.duty.hasWork(),
+            hasPlacementWork: () => this.placementController.hasWork(),
         });
         this.exchange = PeerExchange.create({
             nodeId,
@@ -230,8 +230,8 @@
             quarantine,
             queue,
             firstEvents: FirstEventTimes.create(),
-            deadlines: RetryDetector.create(),
-            crossingDelays: LinkDelays.create(),
+            retryDetector: RetryDetector.create(),
+            linkDelays: LinkDelays.create(),
             linkTraffic: LinkTraffic.create(),
             linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), this.getNodeCount())),
             getNodeCount: () => this.getNodeCount(),
@@ -240,7 +240,7 @@
                 () => getRetryPolicy(settings, this.getNodeCount()),
             ),
         };
-        this.duty = PlacementController.create({
+        this.placementController = PlacementController.create({
             store,
             lease: this.lease,
             isStoreAnswering: () => !this.storeWatch.isWithoutStore(),
@@ -254,7 +254,7 @@
             sendOrder: (endpoint, order) => calls.sendLayerOrder(endpoint, order),
             fetchReport: endpoint => calls.fetchReport(endpoint),
         });
-        this.poll = EndpointPoller.create({
+        this.endpointPoller = EndpointPoller.create({
             nodeId,
             clock,
             readings,
@@ -263,7 +263,7 @@
             getEndpoints: () => this.getModelServices().flatMap(({ name }) => [...this.registry.getEndpoints(name)]),
             fetchReport: endpoint => calls.fetchReport(endpoint),
         });
-        this.stalls = StallDetector.create({
+        this.stallDetector = StallDetector.create({
             environment,
             clock,
             fetchReport: endpoint => calls.fetchReport(endpoint),
@@ -272,7 +272,7 @@
         this.router = RequestRouter.create({
             environment,
             holder: this.holder,
-            stalls: this.stalls,
+            stallDetector: this.stallDetector,
             metrics,
             loop: clock,
         });
@@ -297,8 +297,8 @@
         this.storeWatch.start();
         this.quarantinePersister.start();
         this.exchange.start();
-        this.duty.start();
-        this.poll.start();
+        this.placementController.start();
+        this.endpointPoller.start();
         log.write(events.nodeStarted, { nodeId, version: this.options.version });
     }
 
@@ -334,8 +334,8 @@
     async startDraining(): Promise<void> {
         this.isDraining = true;
         this.options.log.write(events.nodeDraining, {});
-        this.duty.stop();
-        this.poll.stop();
+        this.placementController.stop();
+        this.endpointPoller.stop();
         await this.lease.stop();
     }
 
@@ -385,6 +385,6 @@
 
     private getNodeCount(): number {
         const now = this.options.clock.getMonotonicTime();
-        return this.nodeCount.add(1 + this.nodes.getLiveNodes(now).length, now);
+        return this.maximumNodeCount.add(1 + this.nodes.getLiveNodes(now).length, now);
     }
 }
--- a/src/request/relay/chooseStages.ts
+++ b/src/request/relay/chooseStages.ts
@@ -181,7 +181,7 @@
 
 function hasFreeMemory(query: StageQuery, candidate: StageCandidate, layers: number): boolean {
     const reserved = query.spareFraction * candidate.totalTokenLayers;
-    return getNeededMemory(query, layers) + reserved <= candidate.roomTokenLayers;
+    return getNeededMemory(query, layers) + reserved <= candidate.freeTokenLayers;
 }
 
 /** Gets the memory that the request needs at a stage, in tokens times layers. */
@@ -194,14 +194,14 @@
  * links, since all chains share them.
  */
 function getLinkCost(query: StageQuery, layer: number, from: string, to: string): number {
-    const { model, promptTokens, answerTokens, linkUtilization: pipeUse } = query;
+    const { model, promptTokens, answerTokens, linkUtilization } = query;
     if (layer === 0) {
         return remoteFirstStageMilliseconds;
     }
     const transfer = getTransferTime(model, promptTokens + answerTokens);
-    const availability = 1 - Math.min(pipeUse, maximumLinkUtilization);
+    const availability = 1 - Math.min(linkUtilization, maximumLinkUtilization);
     const expected = (transfer + delaysPerToken * answerTokens * model.linkDelayMilliseconds) / availability;
-    return expected + delaysPerAnswer * query.getCrossingDelay(from, to);
+    return expected + delaysPerAnswer * query.getLinkDelay(from, to);
 }
 
 function includesEndpoint(chain: PartialChain | undefined, candidate: StageCandidate): boolean {
--- a/src/request/relay/wholeAnswer.ts
+++ b/src/request/relay/completeAnswer.ts
@@ -1,7 +1,7 @@
 import type { AnswerHead } from "./answerHead.ts";
 
 /** A complete answer of an endpoint. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
     head: AnswerHead;
     body: Buffer;
 }
--- a/src/request/relay/createQueuedRelay.ts
+++ b/src/request/relay/createQueuedRelay.ts
@@ -31,14 +31,14 @@
 
 /** Creates the queue entry of a request for a chain, which states how long it may wait and how it is started. */
 export function createQueuedRelay(options: QueuedRelayOptions): QueuedRelay {
-    const { environment, task, chains, avoided, isRetry: isRepeat, start, refuse } = options;
+    const { environment, task, chains, avoided, isRetry, start, refuse } = options;
     const { request, route, customer, rank, isReturn, dueAt } = task;
-    const { clock, firstEvents, retryBudget: repeats } = environment;
+    const { clock, firstEvents, retryBudget } = environment;
     const reservedMilliseconds = Math.min(
         firstEvents.getExpected(),
         route.targetLatencyMilliseconds * maximumReserveFraction,
     );
-    const timelyUntil = isReturn
+    const latestOnTimeStart = isReturn
         ? -Infinity
         : request.arrivedAt + route.targetLatencyMilliseconds - reservedMilliseconds;
     const rateLimited = new Set<string>();
@@ -48,22 +48,22 @@
         rank,
         customer,
         cost: chains.getTokens(),
-        latestOnTimeStart: timelyUntil,
+        latestOnTimeStart,
         latestStart: Math.min(request.arrivedAt + maximumWaitMilliseconds, dueAt),
         maximumRetryMilliseconds: (dueAt - request.arrivedAt) * maximumRetryDelayFraction,
         tryReserve: () => {
             const now = clock.getMonotonicTime();
-            const sparePart = now > timelyUntil ? reservedFractionForTimely : 0;
+            const spareFraction = now > latestOnTimeStart ? reservedFractionForTimely : 0;
             const stages = chains.chooseWithinLimits({
                 avoid: avoided,
                 mayOvercommit: false,
-                spareFraction: sparePart,
+                spareFraction,
                 rateLimited,
             });
             if (stages === undefined) {
                 return undefined;
             }
-            if (isRepeat && !repeats.takeRetry(now)) {
+            if (isRetry && !retryBudget.takeRetry(now)) {
                 chains.refundLimit(stages);
                 return undefined;
             }
--- a/src/request/relay/documentRelay.ts
+++ b/src/request/relay/documentRelay.ts
@@ -7,6 +7,7 @@
 import { RequestKind } from "../../version/routing/requestKind.ts";
 import type { AnswerHead } from "./answerHead.ts";
 import { chooseEndpoint } from "./chooseEndpoint.ts";
+import type { CompleteAnswer } from "./completeAnswer.ts";
 import { createRefusal } from "./createRefusal.ts";
 import { getSentMilliseconds } from "./getSentMilliseconds.ts";
 import type { LoadReservation } from "./loadReservation.ts";
@@ -16,8 +17,7 @@
 import type { RelayEnvironment } from "./relayEnvironment.ts";
 import type { RelayRefusal } from "./relayRefusal.ts";
 import type { RelayTask } from "./relayTask.ts";
-import { sendWholeAnswer } from "./sendWholeAnswer.ts";
-import type { WholeAnswer } from "./wholeAnswer.ts";
+import { sendCompleteAnswer } from "./sendCompleteAnswer.ts";
 
 /** An attempt to run the request at an endpoint. */
 interface Attempt {
@@ -37,7 +37,7 @@
     isUnsent?: boolean;
     cause: string;
     /** The endpoint's error response, which is forwarded if no other attempt succeeds. */
-    answer?: WholeAnswer;
+    answer?: CompleteAnswer;
 }
 
 /**
@@ -65,7 +65,7 @@
     /** Monotonic time in milliseconds at which the first byte was sent to an endpoint. */
     private firstSentAt: number | undefined;
     private mayHaveRun = false;
-    private failureAnswer: WholeAnswer | undefined;
+    private failureAnswer: CompleteAnswer | undefined;
     private isDone = false;
 
     private constructor(environment: RelayEnvironment, task: RelayTask, onDone: () => void) {
@@ -320,8 +320,8 @@
         return this.environment.retryBudget.takeRetry(this.getTime());
     }
 
-    private deliver(answer: WholeAnswer, endpoint: RegisteredEndpoint): void {
-        sendWholeAnswer(this.task.sink, answer);
+    private deliver(answer: CompleteAnswer, endpoint: RegisteredEndpoint): void {
+        sendCompleteAnswer(this.task.sink, answer);
         this.finish("answered", endpoint.id, answer.head.status);
     }
 
@@ -336,7 +336,7 @@
         }
         if (this.failureAnswer !== undefined) {
             const { failureAnswer } = this;
-            sendWholeAnswer(this.task.sink, failureAnswer);
+            sendCompleteAnswer(this.task.sink, failureAnswer);
             this.finish("endpointFailed", undefined, failureAnswer.head.status);
             return;
         }
--- a/src/request/relay/limits/endpointLimits.ts
+++ b/src/request/relay/limits/endpointLimits.ts
@@ -188,7 +188,7 @@
     }
 
     private updateLimit({ endpointId, requestsPerSecond, at }: EndpointLimit, source: LimitSource, now: number): void {
-        const { log, random, onSignificantChange: onNews } = this.options;
+        const { log, random, onSignificantChange } = this.options;
         const known = this.limits.get(endpointId);
         const previous = known?.requestsPerSecond;
         const { quota, demand, endpoint } = known ?? {
@@ -209,7 +209,7 @@
             source,
         });
         if (isSignificantChange(previous, requestsPerSecond)) {
-            onNews?.();
+            onSignificantChange?.();
         }
     }
 
--- a/src/request/relay/listCandidates.ts
+++ b/src/request/relay/listCandidates.ts
@@ -30,7 +30,7 @@
             requests,
             tokenLayers: tokenLayers + hiddenTokenLayers,
             totalTokenLayers,
-            roomTokenLayers: loads.getAvailableMemory(endpoint.id, totalTokenLayers - hiddenTokenLayers, demand, now),
+            freeTokenLayers: loads.getAvailableMemory(endpoint.id, totalTokenLayers - hiddenTokenLayers, demand, now),
             slowness: directory.getSlowness(endpoint.id),
             isSuspect: health.isSuspect(endpoint.id, now),
         });
--- a/src/request/relay/listDataCentreLinks.ts
+++ b/src/request/relay/listDataCentreLinks.ts
@@ -5,12 +5,12 @@
  * @param dataCentres - Data centres of the chain's stages, in order.
  */
 export function listDataCentreLinks(dataCentres: readonly string[]): DataCentreLink[] {
-    const crossings: DataCentreLink[] = [];
+    const links: DataCentreLink[] = [];
     for (const [index, from] of dataCentres.entries()) {
         const to = dataCentres[index + 1];
         if (to !== undefined && to !== from) {
-            crossings.push({ from, to });
+            links.push({ from, to });
         }
     }
-    return crossings;
+    return links;
 }
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -72,7 +72,7 @@
             mayOvercommit,
             spareFraction,
             isConnected: address => environment.pools.getPool(address).hasIdle(),
-            getCrossingDelay: (from, to) => environment.crossingDelays.getDelay(from, to, now),
+            getLinkDelay: (from, to) => environment.linkDelays.getDelay(from, to, now),
             getLinkWait: (from, to) => environment.linkPacer.getWait(from, to, now),
         };
         const candidates = listCandidates(environment, model, task.service.name)
@@ -139,9 +139,9 @@
         const { loads, linkTraffic, linkPacer, clock, queue } = this.environment;
         const tokens = this.getTokens();
         const now = clock.getMonotonicTime();
-        const crossings = listDataCentreLinks(listDataCentres(stages));
-        linkTraffic.add(crossings.length * getActivationBits(this.model, tokens), now);
-        for (const { from, to } of crossings) {
+        const links = listDataCentreLinks(listDataCentres(stages));
+        linkTraffic.add(links.length * getActivationBits(this.model, tokens), now);
+        for (const { from, to } of links) {
             linkPacer.reserve(from, to, this.model, tokens, now);
         }
         if (stages.some(({ endpoint }) => this.getUsedMemoryFraction(endpoint) > scarceMemoryFraction)) {
--- a/src/request/relay/relayEnvironment.ts
+++ b/src/request/relay/relayEnvironment.ts
@@ -36,8 +36,8 @@
     quarantine: RequestQuarantine;
     queue: RelayQueue;
     firstEvents: FirstEventTimes;
-    deadlines: RetryDetector;
-    crossingDelays: LinkDelays;
+    retryDetector: RetryDetector;
+    linkDelays: LinkDelays;
     /** Traffic between data centres caused by this node's requests. */
     linkTraffic: LinkTraffic;
     linkPacer: LinkPacer;
--- a/src/request/relay/sendWholeAnswer.ts
+++ b/src/request/relay/sendCompleteAnswer.ts
@@ -1,8 +1,8 @@
 import type { AnswerSink } from "./answerSink.ts";
-import type { WholeAnswer } from "./wholeAnswer.ts";
+import type { CompleteAnswer } from "./completeAnswer.ts";
 
 /** Forwards an endpoint's complete answer to the caller. */
-export function sendWholeAnswer(sink: AnswerSink, { head, body }: WholeAnswer): void {
+export function sendCompleteAnswer(sink: AnswerSink, { head, body }: CompleteAnswer): void {
     sink.writeHead(head);
     if (body.length > 0) {
         sink.write(body);
--- a/src/request/relay/stageCandidate.ts
+++ b/src/request/relay/stageCandidate.ts
@@ -14,7 +14,7 @@
     /** Memory for requests, in tokens times layers. */
     totalTokenLayers: number;
     /** Memory that this node may still use for requests on the endpoint, in tokens times layers. */
-    roomTokenLayers: number;
+    freeTokenLayers: number;
     /** Factor by which it is slower than usual for its kind; 1 if it is as fast. */
     slowness: number;
     /** Whether it is currently suspected to be lost. */
--- a/src/request/relay/stageQuery.ts
+++ b/src/request/relay/stageQuery.ts
@@ -15,7 +15,7 @@
     /** Utilization of the links between data centres, 0 to 1. */
     linkUtilization: number;
     /** Gets the recently observed delay that a link between data centres adds to first events, in milliseconds. */
-    getCrossingDelay(from: string, to: string): number;
+    getLinkDelay(from: string, to: string): number;
     /** Gets how long this node's share of the link from one data centre to another stays occupied, in milliseconds. */
     getLinkWait(from: string, to: string): number;
     /** Gets if a connection to an endpoint's address is open and idle. */
--- a/src/request/relay/stallDetector.ts
+++ b/src/request/relay/stallDetector.ts
@@ -138,10 +138,10 @@
      * congested, and sending it again would add to the congestion.
      */
     private reviewUnexplained(relay: StreamRelay, first: RegisteredEndpoint, now: number): void {
-        const { crossingDelays } = this.options.environment;
+        const { linkDelays } = this.options.environment;
         const dataCentres = relay.getDataCentres();
         if (!relay.hasEvents()) {
-            crossingDelays.recordFirstEvent(dataCentres, now - (relay.getSentAt() ?? now), now);
+            linkDelays.recordFirstEvent(dataCentres, now - (relay.getSentAt() ?? now), now);
         }
         const isOverdue = now - (relay.getLastProgress() ?? now) > abandonMilliseconds;
         if (isOverdue && this.hasProgressingStream(dataCentres.join(), now)) {
--- a/src/request/relay/streamAnswerEnd.ts
+++ b/src/request/relay/streamAnswerEnd.ts
@@ -1,5 +1,5 @@
 import type { AnswerHead } from "./answerHead.ts";
-import type { WholeAnswer } from "./wholeAnswer.ts";
+import type { CompleteAnswer } from "./completeAnswer.ts";
 
 /** How an endpoint's answer to a streamed request ended, if the connection didn't fail. */
 export type StreamAnswerEnd =
@@ -10,6 +10,6 @@
     /** The endpoint guarantees that it has not run the request. */
     | { kind: "refused"; head: AnswerHead; }
     /** The endpoint answered with a failure, or with a success without its signature. `answer` is what may be forwarded to the caller. */
-    | { kind: "failed"; head: AnswerHead; answer: WholeAnswer | undefined; }
+    | { kind: "failed"; head: AnswerHead; answer: CompleteAnswer | undefined; }
     /** The answer belongs to another request. */
     | { kind: "foreign"; };
--- a/src/request/relay/streamAttemptEnd.ts
+++ b/src/request/relay/streamAttemptEnd.ts
@@ -1,4 +1,4 @@
-import type { WholeAnswer } from "./wholeAnswer.ts";
+import type { CompleteAnswer } from "./completeAnswer.ts";
 
 /** Why an attempt ended without completing the stream. */
 export interface StreamAttemptEnd {
@@ -12,5 +12,5 @@
     /** Ids of endpoints that the next chain must avoid. */
     avoid: string[];
     /** Failure that is forwarded to the caller if no later attempt succeeds. */
-    failure?: WholeAnswer;
+    failure?: CompleteAnswer;
 }
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -5,6 +5,7 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
 import type { AnswerHead } from "./answerHead.ts";
 import { AttemptLimit } from "./attemptLimit.ts";
+import type { CompleteAnswer } from "./completeAnswer.ts";
 import { createQueuedRelay } from "./createQueuedRelay.ts";
 import { createRefusal } from "./createRefusal.ts";
 import { EventVerdict } from "./eventVerdict.ts";
@@ -19,7 +20,7 @@
 import type { RelayStage } from "./relayStage.ts";
 import type { RelayTask } from "./relayTask.ts";
 import type { ReservedChain } from "./reservedChain.ts";
-import { sendWholeAnswer } from "./sendWholeAnswer.ts";
+import { sendCompleteAnswer } from "./sendCompleteAnswer.ts";
 import type { StreamAnswerEnd } from "./streamAnswerEnd.ts";
 import { StreamAnswerReader } from "./streamAnswerReader.ts";
 import type { StreamAttempt } from "./streamAttempt.ts";
@@ -27,7 +28,6 @@
 import type { StreamEvent } from "./streamEvent.ts";
 import { StreamLogger } from "./streamLogger.ts";
 import { StreamProgress } from "./streamProgress.ts";
-import type { WholeAnswer } from "./wholeAnswer.ts";
 
 /** A request that crashes the endpoint that runs it does so within a few steps. After this time it is considered safe. */
 const safeAfterMilliseconds = 250;
@@ -50,7 +50,7 @@
     private timer: TimerHandle | undefined;
     private attempt: StreamAttempt | undefined;
     private queuedRelay: QueuedRelay | undefined;
-    private failureAnswer: WholeAnswer | undefined;
+    private failureAnswer: CompleteAnswer | undefined;
     /** Monotonic time in milliseconds at which the first byte was sent to an endpoint. */
     private firstSentAt: number | undefined;
     private mayHaveRun = false;
@@ -245,8 +245,8 @@
     }
 
     private reject(cause: string, retryAfterMilliseconds: number): void {
-        const { log, deadlines } = this.environment;
-        deadlines.observeRefusal(this.getTime());
+        const { log, retryDetector } = this.environment;
+        retryDetector.observeRefusal(this.getTime());
         log.write(events.relayRejectedAtCapacity, {
             request: this.task.request.id,
             cause,
@@ -312,7 +312,7 @@
         }
         if (attempt.firstEventAt === undefined) {
             attempt.firstEventAt = now;
-            this.environment.crossingDelays.recordFirstEvent(
+            this.environment.linkDelays.recordFirstEvent(
                 listDataCentres(attempt.stages),
                 now - attempt.sentAt,
                 now,
@@ -458,7 +458,7 @@
             return;
         }
         if (failureAnswer !== undefined) {
-            sendWholeAnswer(this.task.sink, failureAnswer);
+            sendCompleteAnswer(this.task.sink, failureAnswer);
             this.finish("endpointFailed", cause);
             return;
         }
--- a/tests/platform/harmfulRequest.test.ts
+++ b/tests/platform/harmfulRequest.test.ts
@@ -41,7 +41,7 @@
 
     const countRuns = () =>
         [...harness.endpoints.values()].flatMap(({ runs }) => runs).filter(({ body }) => body === harmfulBody).length;
-    const countCrashed = () => [...harness.endpoints.values()].filter(({ isStopped: hasEnded }) => hasEnded).length;
+    const countCrashed = () => [...harness.endpoints.values()].filter(({ isStopped }) => isStopped).length;
     const sendHarmful = (node: StartedNode) => harness.send(node, "/model/x", { body: harmfulBody });
 
     it("is hardly forwarded any more once it has crashed three of them", async () => {
--- a/tests/process/claims/claimInterleavings.test.ts
+++ b/tests/process/claims/claimInterleavings.test.ts
@@ -28,7 +28,7 @@
     /** Whether the owner discards the shard's state first, as in a takeover. */
     isTakeover: boolean;
     /** Whether the last claimant retries because it has no verdict yet, possibly at another owner. */
-    isRepeat: boolean;
+    isRetry: boolean;
 }
 
 interface Answer {
@@ -49,7 +49,7 @@
     age: fc.constantFrom(0, 0, 0, 1),
     isTakeover: fc.constantFrom(true, false, false, false, false),
     body: fc.constantFrom("a", "a", "a", "b"),
-    isRepeat: fc.boolean(),
+    isRetry: fc.boolean(),
 });
 const skews = fc.array(fc.constantFrom(0, 0, -hour, hour, -30_000), { minLength: owners, maxLength: owners });
 
@@ -84,11 +84,11 @@
     const running: Promise<unknown>[] = [];
     let claimantCount = 0;
     let pauseCount = 0;
-    async function claim({ owner, key, age, body, isRepeat }: Step): Promise<void> {
+    async function claim({ owner, key, age, body, isRetry }: Step): Promise<void> {
         const index = (pauseCount + 1 - age) * keysPerPause + key;
         const keyText = keys.get(index) ?? createTestKey(time.get(), index);
         keys.set(index, keyText);
-        claimantCount += isRepeat ? 0 : 1;
+        claimantCount += isRetry ? 0 : 1;
         const item = {
             key: keyText,
             bodyHash: body,
--- a/tests/process/commandLine/explain/requestStory.test.ts
+++ b/tests/process/commandLine/explain/findRequestLog.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
+import { findRequestLog } from "../../../../src/process/commandLine/explain/findRequestLog.ts";
 import { formatRequestLog } from "../../../../src/process/commandLine/explain/formatRequestLog.ts";
-import { findRequestLog } from "../../../../src/process/commandLine/explain/requestStory.ts";
 
 function createLine(second: number, event: string, fields: object, prefix = ""): string {
     const time = new Date(Date.UTC(2026, 0, 1, 0, 0, second)).toISOString();
@@ -21,8 +21,8 @@
 
 describe("findRequestStory", () => {
     it("returns the lines about the request and its endpoints at that time, in order", () => {
-        const story = findRequestLog(lines, "r");
-        assert.deepEqual(story.map(({ event, isContext }) => [event, isContext]), [
+        const log = findRequestLog(lines, "r");
+        assert.deepEqual(log.map(({ event, isContext }) => [event, isContext]), [
             ["FL1711", false],
             ["FL1811", true],
             ["FL1710", false],
--- a/tests/process/loop/eventLoopMonitor.test.ts
+++ b/tests/process/loop/eventLoopMonitor.test.ts
@@ -15,25 +15,25 @@
     let processorTime: number;
     let due: (() => void)[];
     let lines: LogLine[];
-    let passages: (() => void)[];
-    let watch: EventLoopMonitor;
+    let deferredActions: (() => void)[];
+    let monitor: EventLoopMonitor;
 
     beforeEach(() => {
         now = 0;
         processorTime = 0;
         due = [];
         lines = [];
-        passages = [];
+        deferredActions = [];
         const setTimer = (_delay: number, callback: () => void): TimerHandle => {
             due.push(callback);
             return { cancel: () => undefined };
         };
-        watch = EventLoopMonitor.create({
+        monitor = EventLoopMonitor.create({
             clock: { getMonotonicTime: () => now, getWallTime: () => now, setTimer },
             barrier: {
                 defer: action => {
-                    passages.push(action);
-                    return { cancel: () => void passages.splice(passages.indexOf(action), 1) };
+                    deferredActions.push(action);
+                    return { cancel: () => void deferredActions.splice(deferredActions.indexOf(action), 1) };
                 },
             },
             log: { write: (_event, fields) => lines.push(fields ?? {}) },
@@ -50,16 +50,16 @@
 
     it("runs timers that are on time without logging", () => {
         let runs = 0;
-        watch.setTimer(250, () => runs++);
+        monitor.setTimer(250, () => runs++);
         runTimersAt(260);
-        assert.deepEqual([runs, lines.length, watch.getLag()], [1, 0, 0]);
+        assert.deepEqual([runs, lines.length, monitor.getLag()], [1, 0, 0]);
     });
 
     it("logs once by how much the event loop was late, and the longest work in that time", () => {
-        watch.setTimer(50, () => undefined);
-        watch.setTimer(250, () => undefined);
-        watch.run("short", () => now = 20);
-        watch.run("long", () => now = 1_500);
+        monitor.setTimer(50, () => undefined);
+        monitor.setTimer(250, () => undefined);
+        monitor.run("short", () => now = 20);
+        monitor.run("long", () => now = 1_500);
         processorTime = 1_400;
         runTimersAt(1_950);
         assert.deepEqual(lines, [{
@@ -69,34 +69,34 @@
             job: "long",
             jobMilliseconds: 1_480,
         }]);
-        assert.equal(watch.getLag(), 1_900);
+        assert.equal(monitor.getLag(), 1_900);
     });
 
     it("defers a late timer until all earlier input is read", () => {
         const ran: string[] = [];
-        watch.setTimer(10, () => ran.push("first"));
-        const second = watch.setTimer(10, () => ran.push("second"));
+        monitor.setTimer(10, () => ran.push("first"));
+        const second = monitor.setTimer(10, () => ran.push("second"));
         runTimersAt(500);
         assert.deepEqual(ran, []);
         second.cancel();
-        for (const action of passages) {
+        for (const action of deferredActions) {
             action();
         }
         assert.deepEqual(ran, ["first"]);
     });
 
     it("resets the lag after the delayed input is processed", () => {
-        watch.setTimer(50, () => undefined);
+        monitor.setTimer(50, () => undefined);
         runTimersAt(1_000);
         now = 2_000;
-        assert.equal(watch.getLag(), 0);
+        assert.equal(monitor.getLag(), 0);
     });
 
     it("attributes a delay only to work that ran during it", () => {
-        watch.run("early", () => now = 900);
-        watch.setTimer(10, () => undefined);
+        monitor.run("early", () => now = 900);
+        monitor.setTimer(10, () => undefined);
         runTimersAt(910);
-        watch.setTimer(10, () => undefined);
+        monitor.setTimer(10, () => undefined);
         runTimersAt(2_000);
         assert.equal(lines[0]!.job, "");
     });
--- a/tests/process/router/quarantinePersister.test.ts
+++ b/tests/process/router/quarantinePersister.test.ts
@@ -18,7 +18,7 @@
     };
     const compareAndSwap = store.compareAndSwap.bind(store);
     const get = store.get.bind(store);
-    const keeper = QuarantinePersister.create({
+    const persister = QuarantinePersister.create({
         store: { get, getStale, compareAndSwap },
         key,
         quarantine,
@@ -29,11 +29,11 @@
         for (const endpointId of ["1", "2"]) {
             quarantine.noteCrash({ fingerprint, endpointId, at: clock.getMonotonicTime() }, "request");
         }
-        keeper.save();
+        persister.save();
     };
     const getRemaining = (fingerprint: string) =>
         quarantine.getHold(fingerprint, clock.getMonotonicTime())?.remainingMilliseconds;
-    return { keeper, hold, getRemaining, calls };
+    return { persister, hold, getRemaining, calls };
 }
 
 describe("QuarantineKeeper", () => {
@@ -44,7 +44,7 @@
         first.hold("harmful");
         await clock.advance(20_000);
         const second = createNode(store, clock);
-        second.keeper.start();
+        second.persister.start();
         await clock.advance(10);
         assert.equal(second.getRemaining("harmful"), 39_990);
     });
@@ -56,7 +56,7 @@
         createNode(store, clock).hold("b");
         await clock.advance(5_000);
         const later = createNode(store, clock);
-        later.keeper.start();
+        later.persister.start();
         await clock.advance(10);
         assert.ok(later.getRemaining("a") !== undefined);
         assert.ok(later.getRemaining("b") !== undefined);
@@ -73,7 +73,7 @@
         store.loseAnswers(1);
         await clock.advance(10_000);
         const second = createNode(store, clock);
-        second.keeper.start();
+        second.persister.start();
         await clock.advance(10);
         assert.ok(second.getRemaining("harmful") !== undefined);
     });
@@ -81,8 +81,8 @@
     it("makes one cheap call at start, and no others while nothing is quarantined", async () => {
         const store = MemoryStore.create();
         const clock = FakeClock.create();
-        const { keeper, calls } = createNode(store, clock);
-        keeper.start();
+        const { persister, calls } = createNode(store, clock);
+        persister.start();
         await clock.advance(60_000);
         assert.equal(calls.stale, 1);
         assert.equal(store.getCallCount("get"), 1);
@@ -96,7 +96,7 @@
         createNode(store, clock).hold("harmful");
         await clock.advance(1_000);
         const later = createNode(store, clock);
-        later.keeper.start();
+        later.persister.start();
         await clock.advance(10);
         assert.ok(later.getRemaining("harmful") !== undefined);
     });
--- a/tests/request/admission/admission.test.ts
+++ b/tests/request/admission/admission.test.ts
@@ -43,10 +43,10 @@
         const answers = await Promise.all(Array.from({ length: 8 }, () => fixture.send()));
         const refusals = answers.flatMap(answer => answer.refusal ?? []);
         assert.equal(refusals.length, 4);
-        const returns = refusals.map(refusal => refusal.retryAfterMilliseconds);
-        assert.equal(new Set(returns).size, 4);
+        const delays = refusals.map(refusal => refusal.retryAfterMilliseconds);
+        assert.equal(new Set(delays).size, 4);
         // The queue holds 3 s of work, so it is half empty after 1.5 s at the earliest.
-        assert.ok(Math.min(...returns) >= 1_500, String(returns));
+        assert.ok(Math.min(...delays) >= 1_500, String(delays));
     });
 
     it("does not refuse a customer because of another customer's queue", async () => {
--- a/tests/request/admission/start/retryDetector.test.ts
+++ b/tests/request/admission/start/retryDetector.test.ts
@@ -4,38 +4,38 @@
 
 /** Creates an instance that has learned that new requests have deadlines of 17 to 20 s. */
 function createLearned(): RetryDetector {
-    const deadlines = RetryDetector.create();
+    const detector = RetryDetector.create();
     for (let index = 0; index < 60; index++) {
-        deadlines.observeRequest("r", 17_000 + 50 * index, index);
+        detector.observeRequest("r", 17_000 + 50 * index, index);
     }
-    return deadlines;
+    return detector;
 }
 
 describe("RetryDetector", () => {
     it("detects a shorter deadline than usual as a retry after a refusal", () => {
-        const deadlines = createLearned();
-        deadlines.observeRefusal(1_000);
-        assert.equal(deadlines.observeRequest("r", 13_000, 3_000), true);
-        assert.equal(deadlines.observeRequest("r", 18_000, 3_000), false);
-        assert.equal(deadlines.observeRequest("r", undefined, 3_000), false);
-        assert.equal(deadlines.observeRequest("another", 13_000, 3_000), false);
+        const detector = createLearned();
+        detector.observeRefusal(1_000);
+        assert.equal(detector.observeRequest("r", 13_000, 3_000), true);
+        assert.equal(detector.observeRequest("r", 18_000, 3_000), false);
+        assert.equal(detector.observeRequest("r", undefined, 3_000), false);
+        assert.equal(detector.observeRequest("another", 13_000, 3_000), false);
     });
 
     it("detects no retries without a recent refusal, and learns the deadlines", () => {
-        const deadlines = createLearned();
+        const detector = createLearned();
         for (let index = 0; index < 200; index++) {
-            assert.equal(deadlines.observeRequest("r", 5_000, 1_000 + index), false);
+            assert.equal(detector.observeRequest("r", 5_000, 1_000 + index), false);
         }
-        deadlines.observeRefusal(2_000);
-        assert.equal(deadlines.observeRequest("r", 5_000, 2_100), false);
+        detector.observeRefusal(2_000);
+        assert.equal(detector.observeRequest("r", 5_000, 2_100), false);
     });
 
     it("does not learn from retries", () => {
-        const deadlines = createLearned();
-        deadlines.observeRefusal(1_000);
+        const detector = createLearned();
+        detector.observeRefusal(1_000);
         for (let index = 0; index < 200; index++) {
-            deadlines.observeRequest("r", 13_000, 1_000 + index);
+            detector.observeRequest("r", 13_000, 1_000 + index);
         }
-        assert.equal(deadlines.observeRequest("r", 13_000, 2_000), true);
+        assert.equal(detector.observeRequest("r", 13_000, 2_000), true);
     });
 });
--- a/tests/request/model/misbehavingEngines.test.ts
+++ b/tests/request/model/misbehavingEngines.test.ts
@@ -178,12 +178,12 @@
                     socket.write(`HTTP/1.1 200 OK\r\ncontent-length: 1000000000000\r\n\r\n`);
                     const chunk = " ".repeat(1024 * 1024);
                     const write = () => {
-                        let hasRoom = true;
-                        while (hasRoom && !socket.destroyed && sentBytes < maximumBytes) {
+                        let canWrite = true;
+                        while (canWrite && !socket.destroyed && sentBytes < maximumBytes) {
                             sentBytes += chunk.length;
-                            hasRoom = socket.write(chunk);
+                            canWrite = socket.write(chunk);
                         }
-                        if (hasRoom && sentBytes >= maximumBytes) {
+                        if (canWrite && sentBytes >= maximumBytes) {
                             resolve(false);
                             socket.destroy();
                         }
--- a/tests/request/relay/chooseStages.test.ts
+++ b/tests/request/relay/chooseStages.test.ts
@@ -71,12 +71,12 @@
 
     it("uses a link only if the node's share of it is free, unless the request must not wait", () => {
         const candidates = [createCandidate("1", 0, 40), createCandidate("2", 40, 80, { dataCentre: "b" })];
-        const getPipeWait = (from: string, to: string) => from === "a" && to === "b" ? 100 : 0;
+        const getLinkWait = (from: string, to: string) => from === "a" && to === "b" ? 100 : 0;
         assert.deepEqual(choose(candidates, { mayOvercommit: false }), ["1", "2"]);
-        assert.equal(choose(candidates, { mayOvercommit: false, getLinkWait: getPipeWait }), undefined);
-        assert.deepEqual(choose(candidates, { getLinkWait: getPipeWait }), ["1", "2"]);
+        assert.equal(choose(candidates, { mayOvercommit: false, getLinkWait }), undefined);
+        assert.deepEqual(choose(candidates, { getLinkWait }), ["1", "2"]);
         const inOtherCentre = [...candidates, createCandidate("3", 0, 40, { dataCentre: "b" })];
-        assert.deepEqual(choose(inOtherCentre, { mayOvercommit: false, getLinkWait: getPipeWait }), ["3", "2"]);
+        assert.deepEqual(choose(inOtherCentre, { mayOvercommit: false, getLinkWait }), ["3", "2"]);
     });
 
     it("avoids a link between data centres that has become slow", () => {
@@ -86,7 +86,7 @@
             createCandidate("3", 40, 80, { dataCentre: "c", requests: 40 }),
         ];
         assert.deepEqual(choose(candidates), ["1", "2"]);
-        assert.deepEqual(choose(candidates, { getCrossingDelay: (_from, to) => to === "b" ? 400 : 0 }), ["1", "3"]);
+        assert.deepEqual(choose(candidates, { getLinkDelay: (_from, to) => to === "b" ? 400 : 0 }), ["1", "3"]);
     });
 
     it("prefers a first stage with an open connection, unless that endpoint is clearly more loaded", () => {
--- a/tests/request/relay/computeAvailableMemory.test.ts
+++ b/tests/request/relay/computeAvailableMemory.test.ts
@@ -7,8 +7,8 @@
 
 describe("getOwnRoom", () => {
     it("returns all but a margin of an empty endpoint's memory", () => {
-        const room = computeAvailableMemory(memory);
-        assert.ok(room > 900 && room <= 1_000);
+        const availableMemory = computeAvailableMemory(memory);
+        assert.ok(availableMemory > 900 && availableMemory <= 1_000);
     });
 
     it("returns only the memory that the node's own requests have released if the endpoint is full", () => {
@@ -18,8 +18,8 @@
     });
 
     it("is negative by the node's share of the excess if too much memory is reserved", () => {
-        const room = computeAvailableMemory({ ...memory, own: 200, ownPeak: 200, others: 1_050 });
-        assert.ok(Math.abs(room + 20) < 1e-9);
+        const availableMemory = computeAvailableMemory({ ...memory, own: 200, ownPeak: 200, others: 1_050 });
+        assert.ok(Math.abs(availableMemory + 20) < 1e-9);
     });
 
     it("keeps all nodes together within the endpoint's memory, if each uses its available memory on the same information", () => {
@@ -31,14 +31,14 @@
             for (const nodePart of parts) {
                 const own = nodePart * scale;
                 const others = 1_000 * part - own;
-                const room = computeAvailableMemory({
+                const availableMemory = computeAvailableMemory({
                     own,
                     ownPeak: own,
                     others,
                     total: 1_000,
                     share: 1 / parts.length,
                 });
-                filled += own + room;
+                filled += own + availableMemory;
             }
             assert.ok(filled <= 1_050 + 1e-6);
         }));
--- a/tests/request/relay/limits/endpointLimits.test.ts
+++ b/tests/request/relay/limits/endpointLimits.test.ts
@@ -15,20 +15,20 @@
 describe("EndpointLimits", () => {
     function create(sharers = { count: 1, includesAllNodes: true, includesThisNode: true }) {
         const lines: unknown[] = [];
-        let news = 0;
+        let changeCount = 0;
         const limits = EndpointLimits.create({
             log: { write: (_event, fields) => lines.push(fields) },
             random: () => 0.5,
             chooseSharers: () => sharers,
-            onSignificantChange: () => news++,
+            onSignificantChange: () => changeCount++,
         });
-        return { lines, limits, countNews: () => news };
+        return { lines, limits, getChangeCount: () => changeCount };
     }
 
     const endpoint = createEndpoint("x", { kind: "middle" });
 
     it("logs and reports when an endpoint starts, changes and ends its limit, but no repetitions", () => {
-        const { lines, limits, countNews } = create();
+        const { lines, limits, getChangeCount } = create();
         for (const rate of [undefined, 2, 2, 3.5, undefined, undefined]) {
             limits.noteAnswer("x", rate, 0);
         }
@@ -38,7 +38,7 @@
             { ...line, isLimited: true, requestsPerSecond: 3.5, before: 2 },
             { ...line, isLimited: false, requestsPerSecond: 0, before: 3.5 },
         ]);
-        assert.equal(countNews(), 3);
+        assert.equal(getChangeCount(), 3);
     });
 
     it("removes endpoints that are no longer registered", () => {
@@ -95,9 +95,9 @@
         const { limits } = create();
         limits.noteAnswer("x", 2, 0);
         limits.take(endpoint, 0);
-        const returns = Array.from({ length: 4 }, () => limits.bookRetry(["x"], 0));
-        assert.ok(returns[0]! < 1_000, String(returns));
-        assert.ok(returns[3]! > 1_500 && returns[3]! < 4_000, String(returns));
+        const delays = Array.from({ length: 4 }, () => limits.bookRetry(["x"], 0));
+        assert.ok(delays[0]! < 1_000, String(delays));
+        assert.ok(delays[3]! > 1_500 && delays[3]! < 4_000, String(delays));
     });
 
     for (const [nodes, requestsPerSecond] of [[2, 40], [6, 55], [9, 55], [63, 240]] as const) {
--- a/tests/request/relay/linkPacer.test.ts
+++ b/tests/request/relay/linkPacer.test.ts
@@ -11,21 +11,21 @@
 
 describe("PipeShares", () => {
     it("delays a request behind earlier ones on the same link in the same direction", () => {
-        const shares = LinkPacer.create(() => 1);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        assert.equal(shares.getWait("a", "b", 0), 0);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        assert.ok(shares.getWait("a", "b", 0) >= transferTime);
-        assert.equal(shares.getWait("b", "a", 0), 0);
-        assert.equal(shares.getWait("a", "c", 0), 0);
-        assert.equal(shares.getWait("a", "b", 10 * transferTime), 0);
+        const pacer = LinkPacer.create(() => 1);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        assert.equal(pacer.getWait("a", "b", 0), 0);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        assert.ok(pacer.getWait("a", "b", 0) >= transferTime);
+        assert.equal(pacer.getWait("b", "a", 0), 0);
+        assert.equal(pacer.getWait("a", "c", 0), 0);
+        assert.equal(pacer.getWait("a", "b", 10 * transferTime), 0);
     });
 
     it("gives each node a smaller share if there are more nodes", () => {
-        const shares = LinkPacer.create(() => 1 / nodeCount);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        assert.ok(shares.getWait("a", "b", 0) >= nodeCount * transferTime);
+        const pacer = LinkPacer.create(() => 1 / nodeCount);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        assert.ok(pacer.getWait("a", "b", 0) >= nodeCount * transferTime);
     });
 
     /**
@@ -35,13 +35,13 @@
      */
     it("keeps requests on a link in time at three times its capacity", () => {
         const { started, late } = simulateLink(3);
-        assert.ok(started > 0.6, `${started} of what the pipe carries`);
+        assert.ok(started > 0.6, `${started} of the capacity of the link`);
         assert.ok(late < 0.05, `${late} of those that started`);
     });
 
     it("does not delay requests on a link at half of its capacity", () => {
         const { started, late } = simulateLink(0.5);
-        assert.ok(started > 0.45, `${started} of what the pipe carries`);
+        assert.ok(started > 0.45, `${started} of the capacity of the link`);
         assert.ok(late < 0.05, `${late} of those that started`);
     });
 });
--- a/tests/request/relay/noteRefusal.test.ts
+++ b/tests/request/relay/noteRefusal.test.ts
@@ -11,21 +11,21 @@
     return {
         avoided,
         isSuspect: environment.health.isSuspect("1", 0),
-        room: environment.loads.getAvailableMemory("1", 100, 0, 0),
+        availableMemory: environment.loads.getAvailableMemory("1", 100, 0, 0),
     };
 }
 
 describe("noteRefusal", () => {
     it("treats a refusal by a nearly full endpoint as a lack of memory", () => {
-        assert.deepEqual(refuse(503, 0.9), { avoided: [], isSuspect: false, room: 0 });
+        assert.deepEqual(refuse(503, 0.9), { avoided: [], isSuspect: false, availableMemory: 0 });
     });
 
     it("treats any other refusal as that of an endpoint that is leaving or down", () => {
         for (const [status, memoryPart] of [[503, 0.2], [421, 0.9]] as const) {
-            const { avoided, isSuspect, room } = refuse(status, memoryPart);
+            const { avoided, isSuspect, availableMemory } = refuse(status, memoryPart);
             assert.deepEqual(avoided, ["1"]);
             assert.ok(isSuspect);
-            assert.ok(room > 0);
+            assert.ok(availableMemory > 0);
         }
     });
 });
--- a/tests/request/relay/refusalDetector.test.ts
+++ b/tests/request/relay/refusalDetector.test.ts
@@ -28,27 +28,27 @@
     const clock = FakeClock.create();
     const reports = [report, later];
     let found = 0;
-    const watch = RefusalDetector.create({
+    const detector = RefusalDetector.create({
         health,
         clock,
         log: RecordingEventLog.create(),
         fetchReport: () => Promise.resolve(reports.shift()),
         onFound: () => found += 1,
     });
-    const noted = watch.check(endpoint);
+    const noted = detector.check(endpoint);
     await clock.advance(1_000);
     await noted;
-    return { isKeptAway: health.isSuspect("e", 2_900), found };
+    return { isAvoided: health.isSuspect("e", 2_900), found };
 }
 
 describe("RefusalWatch", () => {
     it("avoids an endpoint that refuses although it has room, and one that doesn't answer", async () => {
-        assert.deepEqual(await checkRefusal(createReport(200)), { isKeptAway: true, found: 1 });
-        assert.deepEqual(await checkRefusal(undefined), { isKeptAway: true, found: 1 });
+        assert.deepEqual(await checkRefusal(createReport(200)), { isAvoided: true, found: 1 });
+        assert.deepEqual(await checkRefusal(undefined), { isAvoided: true, found: 1 });
     });
 
     it("does not avoid a full endpoint, which accepts requests again when room becomes free", async () => {
-        assert.deepEqual(await checkRefusal(createReport(900)), { isKeptAway: false, found: 0 });
+        assert.deepEqual(await checkRefusal(createReport(900)), { isAvoided: false, found: 0 });
     });
 
     /**
@@ -56,7 +56,7 @@
      * is from just before and still shows room (`FL1722`: 43,600 of 465,277 token layers used, then 382,280).
      */
     it("does not avoid a full endpoint whose first report is older than the requests that filled it", async () => {
-        assert.deepEqual(await checkRefusal(createReport(100), createReport(900)), { isKeptAway: false, found: 0 });
+        assert.deepEqual(await checkRefusal(createReport(100), createReport(900)), { isAvoided: false, found: 0 });
     });
 
     /**
@@ -76,41 +76,41 @@
     const random = createSeededRandom(1);
     const clock = FakeClock.create();
     const nodes = Array.from({ length: 65 }, () => {
-        const node = { health: EndpointHealth.create(random), hasNews: false };
-        const watch = RefusalDetector.create({
+        const node = { health: EndpointHealth.create(random), hasUpdate: false };
+        const detector = RefusalDetector.create({
             health: node.health,
             clock,
             log: RecordingEventLog.create(),
             fetchReport: () => Promise.resolve(createReport(300)),
-            onFound: () => node.hasNews = true,
+            onFound: () => node.hasUpdate = true,
         });
-        return { node, watch };
+        return { node, detector };
     });
     const choose = <T>(items: readonly T[]): T => items[Math.floor(random() * items.length)]!;
     let refused = 0;
     for (let now = 0; now < 8_000; now += 5) {
-        const { node: { health }, watch } = choose(nodes);
-        const sound = Array.from({ length: 64 }, (_, index) => index).filter(index =>
+        const { node: { health }, detector } = choose(nodes);
+        const healthy = Array.from({ length: 64 }, (_, index) => index).filter(index =>
             !health.isSuspect(`e${index}`, now)
         );
-        const chosen = choose(sound);
+        const chosen = choose(healthy);
         if (chosen < 16) {
             refused += 1;
             health.markUnavailable(`e${chosen}`, now);
-            void watch.check(createEndpoint(`e${chosen}`));
+            void detector.check(createEndpoint(`e${chosen}`));
         }
         for (const { node } of nodes) {
-            // Running streams continue. Each node sends its suspicions to another node every 450 ms, or within 100 ms if it has news.
+            // Running streams continue. Each node sends its suspicions to another node every 450 ms, or within 100 ms if it has updates.
             for (let index = 0; index < 16; index += 1) {
                 node.health.markAlive(`e${index}`, now);
             }
-            if (now % 450 !== 0 && !(node.hasNews && now % 100 === 0)) {
+            if (now % 450 !== 0 && !(node.hasUpdate && now % 100 === 0)) {
                 continue;
             }
-            node.hasNews = false;
+            node.hasUpdate = false;
             const peer = choose(nodes).node;
             for (const suspicion of node.health.getSuspicions(now)) {
-                peer.hasNews = peer.health.applySuspicion(suspicion, now) || peer.hasNews;
+                peer.hasUpdate = peer.health.applySuspicion(suspicion, now) || peer.hasUpdate;
             }
         }
         await clock.advance(5);
--- a/tests/request/relay/relayModel.ts
+++ b/tests/request/relay/relayModel.ts
@@ -17,7 +17,7 @@
     mayOvercommit: false,
     spareFraction: 0,
     isConnected: () => true,
-    getCrossingDelay: () => 0,
+    getLinkDelay: () => 0,
     getLinkWait: () => 0,
 };
 
@@ -54,7 +54,7 @@
         requests: 0,
         tokenLayers: 0,
         totalTokenLayers: 100_000 * (end - start),
-        roomTokenLayers: 100_000 * (end - start) - (changes.tokenLayers ?? 0),
+        freeTokenLayers: 100_000 * (end - start) - (changes.tokenLayers ?? 0),
         slowness: 1,
         isSuspect: false,
         ...rest,
--- a/tests/request/relay/relayQueue.test.ts
+++ b/tests/request/relay/relayQueue.test.ts
@@ -15,8 +15,8 @@
         log: RecordingEventLog.create(),
         onWaited: (...wait) => waits.push(wait),
     });
-    const room = { places: 0 };
-    const ask = (name: string, rank = 1): QueuedRelay => {
+    const capacity = { free: 0 };
+    const submit = (name: string, rank = 1): QueuedRelay => {
         const now = clock.getMonotonicTime();
         const relay: QueuedRelay = {
             requestId: name,
@@ -29,10 +29,10 @@
             isServable: () => true,
             getLimitRetryMilliseconds: () => undefined,
             tryReserve: () => {
-                if (room.places === 0) {
+                if (capacity.free === 0) {
                     return undefined;
                 }
-                room.places -= 1;
+                capacity.free -= 1;
                 return { stages: [], reservation: { release: () => undefined } };
             },
             start: () => log.push(`start ${name}`),
@@ -41,34 +41,34 @@
         queue.submit(relay);
         return relay;
     };
-    return { clock, queue, log, waits, room, ask };
+    return { clock, queue, log, waits, capacity, submit };
 }
 
 describe("RelayQueue", () => {
     it("starts requests by rank as soon as it is notified that room is free", async () => {
-        const { clock, queue, log, room, ask } = createBench();
-        ask("first");
-        ask("urgent", 0);
-        room.places = 1;
+        const { clock, queue, log, capacity, submit } = createBench();
+        submit("first");
+        submit("urgent", 0);
+        capacity.free = 1;
         queue.wake();
         await clock.advance(1);
         assert.deepEqual(log, ["start urgent"]);
     });
 
     it("finds room that became free without a notification", async () => {
-        const { clock, log, waits, room, ask } = createBench();
-        ask("first");
+        const { clock, log, waits, capacity, submit } = createBench();
+        submit("first");
         await clock.advance(10);
-        room.places = 1;
+        capacity.free = 1;
         await clock.advance(60);
         assert.deepEqual(log, ["start first"]);
         assert.deepEqual(waits, [[50, 0]]);
     });
 
     it("rejects a request when its wait ends, but not one that was removed", async () => {
-        const { clock, queue, log, ask } = createBench();
-        ask("first");
-        queue.remove(ask("second"));
+        const { clock, queue, log, submit } = createBench();
+        submit("first");
+        queue.remove(submit("second"));
         assert.ok(queue.isContended());
         await clock.advance(1_100);
         assert.deepEqual(log, ["refuse first"]);
--- a/tests/system/claims.test.ts
+++ b/tests/system/claims.test.ts
@@ -104,10 +104,10 @@
         await deployment.setFaults(deployment.platform, { down: true });
         await kill(owner);
         await Promise.all(answers);
-        const repeats = await Promise.all(callers.map(caller => caller.send(other)));
+        const retries = await Promise.all(callers.map(caller => caller.send(other)));
         await deployment.setFaults(deployment.platform, { down: false });
         await setDocuments({ delayMilliseconds: 5 });
-        const refused = repeats.filter(({ outcome }) => outcome === "notRun");
+        const refused = retries.filter(({ outcome }) => outcome === "notRun");
         assert.equal(refused.length, 0, `${refused.length} of ${keys}: ${refused[0]?.errorMessage}`);
         assert.equal(await countExecuted(callers), keys);
     });
@@ -119,9 +119,9 @@
         assert.ok(answers.every(({ outcome }) => outcome === "finished"));
         await deployment.setFaults(deployment.platform, { down: true });
         await kill(owner);
-        const repeats = await Promise.all(callers.map(caller => caller.send(other)));
+        const retries = await Promise.all(callers.map(caller => caller.send(other)));
         await deployment.setFaults(deployment.platform, { down: false });
-        const refused = repeats.filter(({ outcome }) => outcome !== "finished");
+        const refused = retries.filter(({ outcome }) => outcome !== "finished");
         assert.equal(refused.length, 0, `${refused.length} of ${keys}: ${refused[0]?.errorMessage}`);
         // The responses remain stored for later retries.
         await waitFor("the store answers again", async () => {
--- a/tests/system/nodes.test.ts
+++ b/tests/system/nodes.test.ts
@@ -100,13 +100,13 @@
         }
         first!.process.signal("SIGSTOP");
         await deployment.setFaults(deployment.platform, { delayMilliseconds: 0 });
-        const repeats = await Promise.all(callers.map(caller => caller.send(second!)));
+        const retries = await Promise.all(callers.map(caller => caller.send(second!)));
         first!.process.signal("SIGCONT");
         await Promise.all(answers);
         for (const [index, caller] of callers.entries()) {
             const executions = await readExecutions(deployment, caller.key);
             assert.ok(executions <= 1, `Key ${index} was executed ${executions} times.`);
-            const isFinished = repeats[index]!.outcome === "finished" || (await answers[index])!.outcome === "finished";
+            const isFinished = retries[index]!.outcome === "finished" || (await answers[index])!.outcome === "finished";
             assert.ok(!isFinished || executions === 1, `Key ${index} was answered but not executed.`);
         }
     });
