--- a/tests/connection/endpoint/passDeadline.test.ts
+++ b/tests/connection/endpoint/passDeadline.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { PassDeadline } from "../../../src/connection/endpoint/passDeadline.ts";
 
-describe("HopDeadline", () => {
+describe("PassDeadline", () => {
     function train(milliseconds: number): PassDeadline {
         const deadline = PassDeadline.create();
         for (let pass = 0; pass < 200; pass += 1) {
--- a/tests/process/commandLine/explain/findRequestLog.test.ts
+++ b/tests/process/commandLine/explain/findRequestLog.test.ts
@@ -19,7 +19,7 @@
     "",
 ];
 
-describe("findRequestStory", () => {
+describe("findRequestLog", () => {
     it("returns the lines about the request and its endpoints at that time, in order", () => {
         const log = findRequestLog(lines, "r");
         assert.deepEqual(log.map(({ event, isContext }) => [event, isContext]), [
--- a/tests/process/loop/eventLoopMonitor.test.ts
+++ b/tests/process/loop/eventLoopMonitor.test.ts
@@ -10,7 +10,7 @@
     jobMilliseconds?: number;
 }
 
-describe("LoopWatch", () => {
+describe("EventLoopMonitor", () => {
     let now: number;
     let processorTime: number;
     let due: (() => void)[];
--- a/tests/process/membership/configurationDistributor.test.ts
+++ b/tests/process/membership/configurationDistributor.test.ts
@@ -13,7 +13,7 @@
 
 const failure = Err({ kind: PeerErrorKind.Unreachable, message: "Down." });
 
-describe("ConfigurationSpreader", () => {
+describe("ConfigurationDistributor", () => {
     let current: ConfigurationText | undefined;
     let offered: number[];
     let fetched: string[];
--- a/tests/process/membership/gossiper.test.ts
+++ b/tests/process/membership/gossiper.test.ts
@@ -6,7 +6,7 @@
 
 const nodeCount = 5;
 
-describe("Gossiper and ConfigurationSpreader over loopback", () => {
+describe("Gossiper and ConfigurationDistributor over loopback", () => {
     let nodes: TestNode[] = [];
 
     beforeEach(async () => {
--- a/tests/process/router/getRetryPolicy.test.ts
+++ b/tests/process/router/getRetryPolicy.test.ts
@@ -4,7 +4,7 @@
 
 const settings = { repeatRatio: 0.2, repeatSlack: 200, repeatWindowMilliseconds: 10_000 };
 
-describe("getRepeatPolicy", () => {
+describe("getRetryPolicy", () => {
     it("keeps the retries of all nodes in a window within the limit beyond the ratio", () => {
         for (const nodeCount of [1, 9, 63, 100]) {
             const { perSecond, maximumBalance, ratio } = getRetryPolicy(settings, nodeCount);
--- a/tests/process/router/listUpdateSources.test.ts
+++ b/tests/process/router/listUpdateSources.test.ts
@@ -4,7 +4,7 @@
 import type { KnownNode } from "../../../src/process/router/knownNode.ts";
 import { listUpdateSources } from "../../../src/process/router/listUpdateSources.ts";
 
-describe("listNewsSources", () => {
+describe("listUpdateSources", () => {
     let owners: RendezvousOwners;
     const nodes: KnownNode[] = Array.from({ length: 195 }, (_, index) => ({
         nodeId: `node-${index}`,
--- a/tests/process/router/quarantinePersister.test.ts
+++ b/tests/process/router/quarantinePersister.test.ts
@@ -36,7 +36,7 @@
     return { persister, hold, getRemaining, calls };
 }
 
-describe("QuarantineKeeper", () => {
+describe("QuarantinePersister", () => {
     it("loads what other nodes quarantined, for the remaining time, when a node starts", async () => {
         const store = MemoryStore.create();
         const clock = FakeClock.create();
--- a/tests/process/router/slidingMaximum.test.ts
+++ b/tests/process/router/slidingMaximum.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { SlidingMaximum } from "../../../src/process/router/slidingMaximum.ts";
 
-describe("HighestCount", () => {
+describe("SlidingMaximum", () => {
     it("keeps a count for 30 seconds after it was last seen", () => {
         const highest = SlidingMaximum.create(3, 0);
         assert.equal(highest.add(9, 1_000), 9);
--- a/tests/process/router/storeWatchController.test.ts
+++ b/tests/process/router/storeWatchController.test.ts
@@ -9,7 +9,7 @@
 import { FakeClock } from "../../support/fakeClock.ts";
 import { RecordingEventLog } from "../../support/recordingEventLog.ts";
 
-describe("StoreFollowing", () => {
+describe("StoreWatchController", () => {
     let owners: RendezvousOwners;
 
     before(async () => {
--- a/tests/request/relay/chooseHealthyStages.test.ts
+++ b/tests/request/relay/chooseHealthyStages.test.ts
@@ -12,7 +12,7 @@
     return chooseHealthyStages({ ...stageQuery, ...changes }, candidates, () => 0)?.map(({ endpoint }) => endpoint.id);
 }
 
-describe("chooseSoundStages", () => {
+describe("chooseHealthyStages", () => {
     it("doesn't use suspect endpoints if there are others", () => {
         assert.deepEqual(choose([lost, createCandidate("sound", 0, 40), last]), ["sound", "last"]);
     });
--- a/tests/request/relay/computeAvailableMemory.test.ts
+++ b/tests/request/relay/computeAvailableMemory.test.ts
@@ -5,7 +5,7 @@
 
 const memory = { own: 0, ownPeak: 0, others: 0, total: 1_000, share: 0.1 };
 
-describe("getOwnRoom", () => {
+describe("computeAvailableMemory", () => {
     it("returns all but a margin of an empty endpoint's memory", () => {
         const availableMemory = computeAvailableMemory(memory);
         assert.ok(availableMemory > 900 && availableMemory <= 1_000);
--- a/tests/request/relay/linkDelays.test.ts
+++ b/tests/request/relay/linkDelays.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { LinkDelays } from "../../../src/request/relay/linkDelays.ts";
 
-describe("CrossingDelays", () => {
+describe("LinkDelays", () => {
     it("detects a link that has become slow, and its delay decays over time", () => {
         const delays = LinkDelays.create();
         for (let now = 0; now < 1_000; now += 50) {
--- a/tests/request/relay/linkPacer.test.ts
+++ b/tests/request/relay/linkPacer.test.ts
@@ -9,7 +9,7 @@
 const transferTime = getTransferTime(relayModel, tokens);
 const nodeCount = 17;
 
-describe("PipeShares", () => {
+describe("LinkPacer", () => {
     it("delays a request behind earlier ones on the same link in the same direction", () => {
         const pacer = LinkPacer.create(() => 1);
         pacer.reserve("a", "b", relayModel, tokens, 0);
--- a/tests/request/relay/refusalDetector.test.ts
+++ b/tests/request/relay/refusalDetector.test.ts
@@ -41,7 +41,7 @@
     return { isAvoided: health.isSuspect("e", 2_900), found };
 }
 
-describe("RefusalWatch", () => {
+describe("RefusalDetector", () => {
     it("avoids an endpoint that refuses although it has room, and one that doesn't answer", async () => {
         assert.deepEqual(await checkRefusal(createReport(200)), { isAvoided: true, found: 1 });
         assert.deepEqual(await checkRefusal(undefined), { isAvoided: true, found: 1 });
