--- a/bench/capacity/computeNodeTotals.ts
+++ b/bench/capacity/computeNodeTotals.ts
@@ -31,7 +31,7 @@
 const receivedRecordsPerSecond = gossipRequestsPerSecond * 3;
 /** See src/request/gateCapacities.ts. */
 const capacityRefreshesPerSecond = 2;
-/** Interval at which `NodeFigures` computes the fleet's throughput bound. */
+/** Interval at which `NodeStatistics` computes the fleet's throughput bound. */
 const boundIntervalSeconds = 30;
 /** Interval at which the metrics are scraped. */
 const scrapeIntervalSeconds = 15;
--- a/bench/experiment/simulatedEngines.ts
+++ b/bench/experiment/simulatedEngines.ts
@@ -12,7 +12,7 @@
     /** Addresses of the chain's engines. */
     addresses: string[];
     promptTokens: number;
-    /** Events of the whole answer. */
+    /** Events of the complete answer. */
     events: number;
     /** Id of the last event that the caller received. */
     lastEvent: number;
--- a/bench/experiment/simulatedRun.ts
+++ b/bench/experiment/simulatedRun.ts
@@ -7,7 +7,7 @@
     requestId: string;
     engines: SimulatedEngine[];
     promptTokens: number;
-    /** Number of events in the whole answer, and of events written so far. */
+    /** Number of events in the complete answer, and of events written so far. */
     events: number;
     writtenEvents: number;
     /** Tokens that take up memory at the engines. */
--- a/bench/recovery/plainRouter.ts
+++ b/bench/recovery/plainRouter.ts
@@ -23,7 +23,7 @@
 
 /**
  * Baseline router. It chooses chains as a node does, but has a fixed timeout per pass, no probes and no state of
- * endpoints besides the chooser's estimates, and retries the whole answer from the prompt. Tokens that an earlier
+ * endpoints in addition to the chooser's estimates, and retries the complete answer from the prompt. Tokens that an earlier
  * attempt emitted are not emitted again.
  */
 export class PlainRouter implements Router {
@@ -97,7 +97,7 @@
         return this.chooser.chooseChain(options).unwrap();
     }
 
-    /** Generates the whole answer once. Returns the endpoint that failed, if any. */
+    /** Generates the complete answer once. Returns the endpoint that failed, if any. */
     private async runAttempt(
         request: RouterRequest,
         chain: Chain,
--- a/scripts/deployment/sendChat.ts
+++ b/scripts/deployment/sendChat.ts
@@ -42,7 +42,7 @@
 }
 
 /**
- * Sends a chat request and reads the whole response. An interrupted response has the outcome `cut`.
+ * Sends a chat request and reads the complete response. An interrupted response has the outcome `cut`.
  * @throws Error if the connection fails before the response starts.
  */
 export async function sendChat(options: ChatOptions): Promise<ChatOutcome> {
--- a/scripts/soak/router/soakNode.ts
+++ b/scripts/soak/router/soakNode.ts
@@ -10,7 +10,7 @@
     storeProxy: LoopbackProxy;
     settingsFile: string;
     process: ChildProcess;
-    /** Wall-clock time at which the process was told to stop, in milliseconds; undefined while it should run. */
+    /** Wall-clock time at which the process was ordered to stop, in milliseconds; undefined while it should run. */
     endingSince: number | undefined;
     /** Whether the node has an active fault. */
     isTaken: boolean;
--- a/src/connection/caller/createRequestContext.ts
+++ b/src/connection/caller/createRequestContext.ts
@@ -55,7 +55,7 @@
 }
 
 function createNotReadyRefusal(): { code: string; message: string; retryAfterMilliseconds: number; } {
-    const message = "This node has no configuration yet. Ask again soon, or another node.";
+    const message = "This node has no configuration yet. Retry soon, or use another node.";
     return { code: "not_ready", message, retryAfterMilliseconds: notReadyRetryMilliseconds };
 }
 
--- a/src/connection/endpoint/endpointObserver.ts
+++ b/src/connection/endpoint/endpointObserver.ts
@@ -32,7 +32,7 @@
 }
 
 const jitterShare = 0.2;
-/** An unchanged report is published again after this time, multiplied by the stretch. */
+/** An unchanged report is published again after this time, multiplied by the interval factor. */
 const refreshMilliseconds = 5_000;
 /** A change of the queue depth is published only if it exceeds both this share and this number of passes. */
 const queueChangeShare = 0.25;
--- a/src/connection/endpoint/sendPassBatch.ts
+++ b/src/connection/endpoint/sendPassBatch.ts
@@ -15,7 +15,7 @@
     onClosed(closing: BatchCloseInfo): void;
 }
 
-/** A result line contains the activations of a whole prompt. */
+/** A result line contains the activations of a complete prompt. */
 const maximumLineBytes = 16 * 1024 * 1024;
 
 /**
--- a/src/connection/peer/framed/framedConnection.ts
+++ b/src/connection/peer/framed/framedConnection.ts
@@ -50,7 +50,7 @@
      * Calls a method of the peer.
      * @param method - Name of the method.
      * @param payload - The encoded input.
-     * @param timeoutMilliseconds - Time limit for the whole call.
+     * @param timeoutMilliseconds - Time limit for the complete call.
      * @returns The encoded output.
      * @throws ConnectError if the call fails.
      */
--- a/src/process/claims/claimShard.ts
+++ b/src/process/claims/claimShard.ts
@@ -26,7 +26,7 @@
  *
  * A claim waits until the ring, as read from the store, holds its key. If the stored claimant is the same, the claim is
  * granted, otherwise the key is taken. An append writes the waiting claims to the next slot by compare-and-swap with the
- * slot's last seen revision. The slot's contents after that are applied, whoever wrote them, so a lost response needs no
+ * slot's last seen revision. The slot's contents after that are applied, regardless of which owner wrote them, so a lost response needs no
  * special handling. An append with an unknown outcome and its retries compare with the same revision, so at most one of
  * them takes effect, however late it arrives.
  */
--- a/src/process/commandLine/printFaults.ts
+++ b/src/process/commandLine/printFaults.ts
@@ -2,7 +2,7 @@
 import type { CommandContext } from "./commandContext.ts";
 
 /**
- * Prints the errors of a file as `FILE:LINE:COLUMN: PATH: MESSAGE`, a format that editors recognise.
+ * Prints the errors of a file as `FILE:LINE:COLUMN: PATH: MESSAGE`, a format that editors recognize.
  * @param file - Path of the file.
  * @param faults - Errors in the order of the text.
  * @param context - Context to print the errors with.
--- a/src/process/leases/fencedLease.ts
+++ b/src/process/leases/fencedLease.ts
@@ -29,7 +29,7 @@
  * Lease for sending orders to endpoints. One process holds it at a time, with a fencing number that increases with each
  * holder. Endpoints that check the number refuse orders of earlier holders. For endpoints that do not, the holder checks its
  * monotonic clock immediately before sending, and a successor waits for the time to live plus the maximum order time. The
- * remaining gap is a pause between that check and the sending that is longer than the maximum order time. Therefore orders to
+ * remaining gap is a pause between that check and the transmission that is longer than the maximum order time. Therefore orders to
  * such endpoints declare the desired state, and the sender reads it back.
  *
  * Stored as a plain record that is written by compare-and-swap, not as a lease of the platform's service. A service lease
--- a/src/process/leases/leaseRecord.ts
+++ b/src/process/leases/leaseRecord.ts
@@ -8,7 +8,7 @@
     writeId: string;
     /** Whether the holder has released the lease. */
     isReleased: boolean;
-    /** Time to live of the lease from the sending of this write, in milliseconds. */
+    /** Time to live of the lease from when this write is sent, in milliseconds. */
     timeToLiveMilliseconds: number;
     /** Maximum time from sending an order under this lease to its completion, in milliseconds. */
     longestOrderMilliseconds: number;
--- a/src/process/orders/orderReconciler.ts
+++ b/src/process/orders/orderReconciler.ts
@@ -172,12 +172,12 @@
     private async sendOrder(load: PendingLoad): Promise<void> {
         const { log, sendOrder } = this.options;
         const { endpoint, range } = load;
-        const sending = this.lease.withFencing(fencingNumber => {
+        const sendResult = this.lease.withFencing(fencingNumber => {
             const answer = sendOrder(endpoint, { fencingNumber, kind: "load", range });
             log.write(events.loadOrdered, { ...getLogFields(load), fencingNumber });
             return answer;
         });
-        const answer = sending.ok ? await sending.val : undefined;
+        const answer = sendResult.ok ? await sendResult.val : undefined;
         if (answer === undefined || answer.err) {
             return;
         }
--- a/src/process/placement/assignLayers.ts
+++ b/src/process/placement/assignLayers.ts
@@ -143,7 +143,7 @@
 /**
  * Assigns a column to an empty endpoint, preferring columns that were sized for its kind. Among these, a column without
  * replicas comes first, then the one with the fewest replicas in the endpoint's data centre. If a data centre lacks a
- * column, each of its chains crosses to another data centre, and the links between data centres, which all chains
+ * column, each of its chains uses a link to another data centre, and the links between data centres, which all chains
  * share, are saturated as soon as endpoints are lost.
  */
 function assignColumn(
--- a/src/process/placement/chooseLoads.ts
+++ b/src/process/placement/chooseLoads.ts
@@ -23,7 +23,7 @@
  * The limit is meant for the loss of a fifth of the endpoints under full traffic. If all loads run concurrently, they
  * end at the same time, and until then there may be no data centre with a complete chain. One after the other they take
  * as long in total, but the data centre that lacks the fewest columns can serve after the first load.
- * @returns The assignments to order, with the data centre that lacks the fewest columns first and whole columns before
+ * @returns The assignments to order, with the data centre that lacks the fewest columns first and complete columns before
  * parts.
  */
 export function chooseLoads(
--- a/src/process/placement/layerOrderTracker.ts
+++ b/src/process/placement/layerOrderTracker.ts
@@ -110,11 +110,11 @@
         const expectedSequence = this.sequences.get(endpoint.id) ?? 0;
         const order = { layers, sentAt: clock.getMonotonicTime(), isBegun: false, isFetchingReport: false };
         this.pending.set(endpoint.id, order);
-        const sending = sendOrder(endpoint, { layers, fencingNumber, expectedSequence });
+        const outcomePromise = sendOrder(endpoint, { layers, fencingNumber, expectedSequence });
         const { start, end } = layers;
         const fields = { endpoint: endpoint.id, start, end, expectedSequence, fencingNumber };
         log.write(events.placementOrdered, fields);
-        const outcome = await sending;
+        const outcome = await outcomePromise;
         log.write(events.placementOrderEnded, { ...fields, outcome: outcome?.kind ?? "unanswered" });
         if (outcome?.kind === "fenced") {
             this.refusedFencingNumber = Math.max(this.refusedFencingNumber, fencingNumber);
--- a/src/process/platform/platformTransport.ts
+++ b/src/process/platform/platformTransport.ts
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Makes one call and reads its whole response.
+     * Makes one call and reads its complete response.
      * @param call - Request to send and schema of the response.
      */
     async call<T>(call: PlatformCall<T>): Promise<Result<T, PlatformFailure>> {
--- a/src/process/router/listStoreWatchers.ts
+++ b/src/process/router/listStoreWatchers.ts
@@ -4,7 +4,7 @@
 /** A node that may watch the store. */
 type Watcher = Pick<KnownNode, "nodeId" | "isWithoutStore">;
 
-/** Number of watchers besides those per {@link nodesPerWatcher}. Each further watcher costs calls to the store. */
+/** Number of watchers in addition to those per {@link nodesPerWatcher}. Each further watcher costs calls to the store. */
 const baseWatchers = 2;
 /**
  * One more watcher per this many nodes, so that some remain when many nodes are lost at once. Each change costs one call per
--- a/src/process/settings/nodeSettings.ts
+++ b/src/process/settings/nodeSettings.ts
@@ -49,7 +49,7 @@
         maximumConnections: number;
         /** Time limit for a caller to send the headers of a request. */
         headerTimeoutMilliseconds: number;
-        /** Time limit for a caller to send a whole request. */
+        /** Time limit for a caller to send a complete request. */
         bodyTimeoutMilliseconds: number;
     };
 }
--- a/src/request/admission/adaptiveLimit.ts
+++ b/src/request/admission/adaptiveLimit.ts
@@ -6,7 +6,7 @@
 
 /**
  * Concurrency limit that adapts to the refusals of the engines: it decreases by a tenth on a refusal and increases by a
- * tenth in a round of successful requests that uses the whole limit. It never exceeds the given upper limit.
+ * tenth in a round of successful requests that uses the full limit. It never exceeds the given upper limit.
  */
 export class AdaptiveLimit {
     private learnedLimit = Number.POSITIVE_INFINITY;
--- a/src/request/chain/flow/computeFlowBound.ts
+++ b/src/request/chain/flow/computeFlowBound.ts
@@ -8,7 +8,7 @@
  * A generated token and a token of the prompt each cost one position, so the bound in generated tokens is the bound in
  * positions multiplied by the fraction of positions that are generated. The bound is never below the throughput that
  * can be reached. It is too high where one link carries several intervals of a model, or several models, because each
- * of them is given the link's whole bandwidth.
+ * of them is given the link's full bandwidth.
  * @param options - Models, endpoints, links and the data centres of the nodes.
  */
 export function computeFlowBound(options: FlowBoundOptions): FlowBound {
--- a/src/request/chain/holderCosts.ts
+++ b/src/request/chain/holderCosts.ts
@@ -1,4 +1,4 @@
-/** Estimated costs of a model's holders by holder index, in milliseconds over the whole request. */
+/** Estimated costs of a model's holders by holder index, in milliseconds over the full request. */
 export interface HolderCosts {
     /** Cost of a stage regardless of its number of layers: waiting, latency and the fixed fraction of a step. */
     stageMilliseconds: Float64Array;
--- a/src/request/relay/chooseStages.ts
+++ b/src/request/relay/chooseStages.ts
@@ -32,7 +32,7 @@
 const connectMilliseconds = 100;
 /** Each token waits behind the prompts of other requests about as long as it travels: its delay counts twice. */
 const delaysPerToken = 2;
-/** A slow link delays a whole answer about this many times as much as its first event. */
+/** A slow link delays a complete answer about this many times as much as its first event. */
 const delaysPerAnswer = 10;
 /** Utilization of the links, 0 to 1, above which the estimated delay grows no further. */
 const maximumLinkUtilization = 0.9;
@@ -156,7 +156,7 @@
     return { ...chain, cost: chain.cost + getStageCost(query, candidate, end - start) };
 }
 
-/** Gets the cost of a stage: the milliseconds that it adds to a whole answer, increased as the endpoint's memory fills. */
+/** Gets the cost of a stage: the milliseconds that it adds to a complete answer, increased as the endpoint's memory fills. */
 function getStageCost(query: StageQuery, candidate: StageCandidate, layers: number): number {
     const { model, promptTokens, answerTokens } = query;
     const work = {
@@ -190,7 +190,7 @@
 }
 
 /**
- * Gets the time that a link between data centres adds to a whole answer, in milliseconds. It grows with the utilization of the
+ * Gets the time that a link between data centres adds to a complete answer, in milliseconds. It grows with the utilization of the
  * links, since all chains share them.
  */
 function getLinkCost(query: StageQuery, layer: number, from: string, to: string): number {
--- a/src/request/relay/estimateAnswerTime.ts
+++ b/src/request/relay/estimateAnswerTime.ts
@@ -6,7 +6,7 @@
 /** Duration of a step in passes: half a pass of mean wait for the pass in progress, and the pass itself. */
 const passesPerStep = 1.5;
 
-/** Estimates the time that a stage adds to a whole answer, in milliseconds. */
+/** Estimates the time that a stage adds to a complete answer, in milliseconds. */
 export function estimateAnswerTime(
     model: EngineModel,
     work: StageWork,
--- a/src/request/relay/linkPacer.ts
+++ b/src/request/relay/linkPacer.ts
@@ -21,7 +21,7 @@
 /**
  * Paces this node's requests over the links between data centres, so that all nodes together stay within the links' bandwidth.
  *
- * This matters when endpoints are lost and most chains cross between data centres at once. All nodes share each link, and one prompt
+ * This matters when endpoints are lost and most chains use links between data centres at once. All nodes share each link, and one prompt
  * occupies it for as long as hundreds of tokens do. Without pacing, prompts of requests that are already too late fill the
  * link, nothing else gets through, and all callers give up. Each direction counts as a separate link. Traffic that can't wait, such as
  * a stream that has to move, is counted too and delays the requests after it.
@@ -58,7 +58,7 @@
      * @param from - Source data centre.
      * @param to - Destination data centre.
      * @param model - Parameters of the model.
-     * @param tokens - Tokens of the whole request, or of the context that is moved.
+     * @param tokens - Tokens of the full request, or of the context that is moved.
      * @param now - Monotonic time in milliseconds.
      */
     reserve(from: string, to: string, model: EngineModel, tokens: number, now: number): void {
--- a/src/request/relay/linkTraffic.ts
+++ b/src/request/relay/linkTraffic.ts
@@ -16,7 +16,7 @@
 
     /**
      * Adds the traffic of a request.
-     * @param bits - Bits over all links that the request's chain crosses.
+     * @param bits - Bits over all links that the request's chain uses.
      * @param now - Monotonic time in milliseconds.
      */
     add(bits: number, now: number): void {
--- a/src/request/relay/refusalDetector.ts
+++ b/src/request/relay/refusalDetector.ts
@@ -19,7 +19,7 @@
 
 /**
  * Delay before a report is fetched for the second time; a report lags behind a refusal by less than this. The first report of an endpoint
- * that other nodes have just filled still shows room, and avoiding that endpoint would waste capacity that is scarce after a loss.
+ * that other nodes have just filled still shows free memory, and avoiding that endpoint would waste capacity that is scarce after a loss.
  */
 const recheckDelayMilliseconds = 200;
 
@@ -28,7 +28,7 @@
  *
  * This matters when many endpoints drain at once while the store that would announce it is unavailable. Otherwise each node discovers
  * each of these endpoints by refused requests, again on every check whether the endpoint is back. This uses up the retry budget of all
- * nodes, and requests are rejected although other endpoints have room for them.
+ * nodes, and requests are rejected although other endpoints have free memory for them.
  */
 export class RefusalDetector {
     private readonly options: RefusalDetectorOptions;
@@ -43,7 +43,7 @@
         return new RefusalDetector(options);
     }
 
-    /** Checks why an endpoint refused a request although it was expected to have room. */
+    /** Checks why an endpoint refused a request although it was expected to have free memory. */
     async check(endpoint: RegisteredEndpoint): Promise<void> {
         const { id } = endpoint;
         if (this.checking.has(id)) {
--- a/src/request/relay/relayChains.ts
+++ b/src/request/relay/relayChains.ts
@@ -19,7 +19,7 @@
     avoid: ReadonlySet<string>;
     /** First stage of the chain, if a running request moves. */
     firstStage?: RelayStage;
-    /** Whether endpoints without room for the request may be used. */
+    /** Whether endpoints without enough free memory for the request may be used. */
     mayOvercommit: boolean;
     /** Fraction of each endpoint's memory that must stay free for other requests. Default: 0. */
     spareFraction?: number;
--- a/src/request/relay/relayQueue.ts
+++ b/src/request/relay/relayQueue.ts
@@ -73,7 +73,7 @@
         this.waits.delete(relay);
     }
 
-    /** Schedules an immediate review of the waiting requests, after room became free or the endpoints changed. */
+    /** Schedules an immediate review of the waiting requests, after memory became free or the endpoints changed. */
     wake(): void {
         if (this.isReviewDue || this.startQueue.getLength() === 0) {
             return;
@@ -93,12 +93,12 @@
         this.startQueue.recordEnd(tokens, heldMilliseconds, this.getTime());
     }
 
-    /** Records that nodes contend for room, before any request has to wait. */
+    /** Records that nodes contend for memory, before any request has to wait. */
     noteContention(): void {
         this.contendedAt = this.getTime();
     }
 
-    /** Gets if nodes contend for room, because requests had to wait recently or room was becoming scarce. */
+    /** Gets if nodes contend for memory, because requests had to wait recently or free memory was becoming scarce. */
     isContended(): boolean {
         return this.getTime() - this.contendedAt < contentionMilliseconds;
     }
--- a/src/request/relay/stageQuery.ts
+++ b/src/request/relay/stageQuery.ts
@@ -8,7 +8,7 @@
     answerTokens: number;
     /** Data centre of the node that the caller is connected to. */
     dataCentre: string;
-    /** Whether endpoints without room for the request may be chosen. An endpoint that runs out of memory preempts running streams. */
+    /** Whether endpoints without enough free memory may be chosen. An endpoint that runs out of memory preempts running streams. */
     mayOvercommit: boolean;
     /** Fraction of each endpoint's memory that must stay free for other requests, 0 to 1. */
     spareFraction: number;
--- a/src/request/relay/stallDetector.ts
+++ b/src/request/relay/stallDetector.ts
@@ -145,7 +145,7 @@
         }
         const isOverdue = now - (relay.getLastProgress() ?? now) > abandonMilliseconds;
         if (isOverdue && this.hasProgressingStream(dataCentres.join(), now)) {
-            this.abandon(relay, first.id, "the chain is silent while others go on.");
+            this.abandon(relay, first.id, "the chain is silent while others make progress.");
         }
     }
 
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -92,7 +92,7 @@
         sink.onClosed(() => this.finish("callerGone"));
         const delay = Math.max(0, dueAt - this.getTime());
         this.timer = this.environment.clock.setTimer(delay, () => this.handleTimeout());
-        this.startAttempt("no chain of endpoints has room.");
+        this.startAttempt("no chain of endpoints has free capacity.");
     }
 
     /** Gets the chain in use; undefined between attempts. */
@@ -226,13 +226,13 @@
         return hold !== undefined;
     }
 
-    /** Continues a stream that has begun. It does not wait for room, since its caller would give up. */
+    /** Continues a stream that has begun. It does not wait for free capacity, since its caller would give up. */
     private resume(cause: string, isRetry: boolean): void {
         const { environment, chains, avoided, task } = this;
         environment.limits.noteRequest(task.service.name, this.getTime());
         const stages = chains.chooseWithinLimits({ avoid: avoided, mayOvercommit: true, rateLimited: new Set() });
         if (stages === undefined) {
-            this.giveUp(`${cause} No other chain has room.`);
+            this.giveUp(`${cause} No other chain has free capacity.`);
             return;
         }
         if (isRetry && !environment.retryBudget.takeRetry(this.getTime())) {
@@ -472,7 +472,7 @@
             return;
         }
         const isNotRun = !this.mayHaveRun && this.attempt?.exchange?.getSentTime() === undefined;
-        this.refuse(isNotRun ? createRefusal.notRun("no chain had room in time.") : createRefusal.timedOut());
+        this.refuse(isNotRun ? createRefusal.notRun("no chain had free capacity in time.") : createRefusal.timedOut());
     }
 
     private refuse(refusal: RelayRefusal): void {
--- a/src/request/requestError.ts
+++ b/src/request/requestError.ts
@@ -74,7 +74,7 @@
             outcome: Outcome.Running,
             status: 409,
             code: "request_running",
-            message: "A request with this key is running. Ask again later for its answer.",
+            message: "A request with this key is running. Send it again later to get its answer.",
             retryAfterMilliseconds,
         });
     }
--- a/tests/connection/caller/callerServer.test.ts
+++ b/tests/connection/caller/callerServer.test.ts
@@ -85,7 +85,7 @@
         await server.close();
     });
 
-    it("starts if the header timeout is longer than the timeout of the whole request", async () => {
+    it("starts if the header timeout is longer than the timeout of the complete request", async () => {
         const limits = { headerTimeoutMilliseconds: 2_000, bodyTimeoutMilliseconds: 1_000 };
         const environment = createEnvironment(() => undefined);
         const { server, address } = await createCallerServer({ apiKey, environment, limits });
--- a/tests/platform/createAnswerSink.test.ts
+++ b/tests/platform/createAnswerSink.test.ts
@@ -65,12 +65,12 @@
     });
 
     it("does not use chunks for a response with a length or for an HTTP/1.0 caller", async () => {
-        const whole = await exchange(["/only"], ([sink]) => {
+        const response = await exchange(["/only"], ([sink]) => {
             sink!.writeHead(createHead(["Content-Length", "3"]));
             sink!.write(Buffer.from("abc"));
             sink!.end();
         });
-        assert.ok(whole.endsWith("\r\n\r\nabc"), whole);
+        assert.ok(response.endsWith("\r\n\r\nabc"), response);
         const old = await exchange(["/only"], ([sink]) => stream(sink!, "ab"), "1.0");
         assert.ok(old.endsWith(`\r\n\r\n${"ab".repeat(11)}`), old);
     });
--- a/tests/platform/platformChanges.test.ts
+++ b/tests/platform/platformChanges.test.ts
@@ -123,7 +123,7 @@
             "they know each other",
             () => (second.node.getStatus() as { peers: object[]; }).peers.length === 1,
         );
-        // Lets the successor read the lease before the stop; otherwise it would wait for the whole time to live from its first read.
+        // Lets the successor read the lease before the stop; otherwise it would wait for the full time to live from its first read.
         await new Promise(resolve => setTimeout(resolve, 2_000));
         const stoppedAt = Date.now();
         await first.node.startDraining();
--- a/tests/process/placement/chooseLoads.test.ts
+++ b/tests/process/placement/chooseLoads.test.ts
@@ -54,7 +54,7 @@
         assert.deepEqual(listIds(endpoints, assign(["b2", first]), 1), ["b2"]);
     });
 
-    it("prefers whole columns to parts of columns", () => {
+    it("prefers complete columns to parts of columns", () => {
         const endpoints = [
             createEndpoint("a1"),
             createEndpoint("a2"),
--- a/tests/request/admission/admissionFixture.ts
+++ b/tests/request/admission/admissionFixture.ts
@@ -47,8 +47,8 @@
     /** Sends a request; the returned object is filled in when the request is admitted or refused. */
     async send(request: Partial<AdmissionRequest> = {}): Promise<Answer> {
         const answer: Answer = {};
-        const whole = { customer: "alice", gate: "chat", cost: 100, ...request };
-        void this.admission.requestAdmission(whole).then(result => {
+        const fullRequest = { customer: "alice", gate: "chat", cost: 100, ...request };
+        void this.admission.requestAdmission(fullRequest).then(result => {
             answer.answeredAt = this.clock.getMonotonicTime();
             if (result.ok) {
                 answer.ticket = result.val;
--- a/tests/request/admission/start/startQueue.test.ts
+++ b/tests/request/admission/start/startQueue.test.ts
@@ -129,7 +129,7 @@
         assert.ok(started.includes("start large"));
     });
 
-    it("refuses waiting requests as soon as they are late if new requests use the whole throughput", () => {
+    it("refuses waiting requests as soon as they are late if new requests use all of the throughput", () => {
         const fixture = createFixture();
         fixture.learnThroughput(1_000);
         fixture.queue.recordStart();
--- a/tests/request/relay/eventSplitter.test.ts
+++ b/tests/request/relay/eventSplitter.test.ts
@@ -15,14 +15,16 @@
 
     it("returns the same events with the same bytes, however the stream is split into chunks", () => {
         const bytes = Buffer.from(text);
-        const whole = EventSplitter.create().push(bytes);
+        const expected = EventSplitter.create().push(bytes);
         fc.assert(fc.property(fc.array(fc.integer({ min: 0, max: bytes.length })), cuts => {
             const splitter = EventSplitter.create();
             const at = [0, ...cuts.sort((left, right) => left - right), bytes.length];
             const events = at.slice(1).flatMap((end, index) => splitter.push(bytes.subarray(at[index], end)));
-            assert.deepEqual(events.map(({ id }) => id), whole.map(({ id }) => id));
+            assert.deepEqual(events.map(({ id }) => id), expected.map(({ id }) => id));
             assert.ok(
-                Buffer.concat(events.map(event => event.bytes)).equals(Buffer.concat(whole.map(event => event.bytes))),
+                Buffer.concat(events.map(event => event.bytes)).equals(
+                    Buffer.concat(expected.map(event => event.bytes)),
+                ),
             );
         }));
     });
--- a/tests/request/relay/linkPacer.test.ts
+++ b/tests/request/relay/linkPacer.test.ts
@@ -29,7 +29,7 @@
     });
 
     /**
-     * Guards against a congested link: if no data centre holds a whole chain for five seconds, all requests cross the same link, three
+     * Guards against a congested link: if no data centre holds a complete chain for five seconds, all requests use the same link, three
      * times as many as it carries. Without pacing, each request queues behind the prompts of all earlier ones, and nearly all callers give
      * up (337 of 339 requests).
      */
--- a/tests/request/relay/quarantine/taskQuarantine.test.ts
+++ b/tests/request/relay/quarantine/taskQuarantine.test.ts
@@ -75,7 +75,7 @@
         }
     });
 
-    it("is not sent if other endpoints crashed while it waited for room", async () => {
+    it("is not sent if other endpoints crashed while it waited for free memory", async () => {
         const bench = createBench();
         for (const id of ["1", "2", "3", "4"]) {
             bench.environment.loads.markFull(id, 0);
--- a/tests/request/relay/refusalDetector.test.ts
+++ b/tests/request/relay/refusalDetector.test.ts
@@ -42,18 +42,18 @@
 }
 
 describe("RefusalDetector", () => {
-    it("avoids an endpoint that refuses although it has room, and one that doesn't answer", async () => {
+    it("avoids an endpoint that refuses although it has free memory, and one that doesn't answer", async () => {
         assert.deepEqual(await checkRefusal(createReport(200)), { isAvoided: true, found: 1 });
         assert.deepEqual(await checkRefusal(undefined), { isAvoided: true, found: 1 });
     });
 
-    it("does not avoid a full endpoint, which accepts requests again when room becomes free", async () => {
+    it("does not avoid a full endpoint, which accepts requests again when memory becomes free", async () => {
         assert.deepEqual(await checkRefusal(createReport(900)), { isAvoided: false, found: 0 });
     });
 
     /**
      * Guards against trusting a stale report: after a loss, the requests of all nodes fill the remaining endpoint, whose first report
-     * is from just before and still shows room (`FL1722`: 43,600 of 465,277 token layers used, then 382,280).
+     * is from just before and still shows free memory (`FL1722`: 43,600 of 465,277 token layers used, then 382,280).
      */
     it("does not avoid a full endpoint whose first report is older than the requests that filled it", async () => {
         assert.deepEqual(await checkRefusal(createReport(100), createReport(900)), { isAvoided: false, found: 0 });
@@ -63,7 +63,7 @@
      * Guards against an exhausted retry budget when a quarter of the endpoints drain while the store is unavailable. They continue their
      * running streams, so no node believes a peer's suspicion, and each of 65 nodes discovers each of 16 endpoints by refused requests
      * again and again: 679 failed attempts (`FL1711`) in eight seconds, after which 243 requests were rejected (`FL1716`) although other
-     * endpoints had room.
+     * endpoints had free memory.
      */
     it("limits refused requests when many endpoints drain at once without a record of it", async () => {
         const refused = await countRefused();
--- a/tests/request/relay/relayModel.ts
+++ b/tests/request/relay/relayModel.ts
@@ -38,7 +38,7 @@
     };
 }
 
-/** Creates a candidate that holds a range of layers and has room for requests. */
+/** Creates a candidate that holds a range of layers and has free memory for requests. */
 export function createCandidate(
     id: string,
     start: number,
--- a/tests/request/relay/relayQueue.test.ts
+++ b/tests/request/relay/relayQueue.test.ts
@@ -45,7 +45,7 @@
 }
 
 describe("RelayQueue", () => {
-    it("starts requests by rank as soon as it is notified that room is free", async () => {
+    it("starts requests by rank as soon as it is notified of free capacity", async () => {
         const { clock, queue, log, capacity, submit } = createBench();
         submit("first");
         submit("urgent", 0);
@@ -55,7 +55,7 @@
         assert.deepEqual(log, ["start urgent"]);
     });
 
-    it("finds room that became free without a notification", async () => {
+    it("finds capacity that became free without a notification", async () => {
         const { clock, log, waits, capacity, submit } = createBench();
         submit("first");
         await clock.advance(10);
--- a/tests/scripts/callChecks.test.ts
+++ b/tests/scripts/callChecks.test.ts
@@ -72,8 +72,8 @@
 
     it("accepts a correct response, a complete stream and a justified refusal", () => {
         assert.deepEqual(check(createRecord(), createRun()), []);
-        const whole = createRecord({ id: "call-2", kind: "model", text: stream, path: "/model/x" });
-        assert.deepEqual(check(whole, createRun({ id: "call-2", url: "/model/x" })), []);
+        const complete = createRecord({ id: "call-2", kind: "model", text: stream, path: "/model/x" });
+        assert.deepEqual(check(complete, createRun({ id: "call-2", url: "/model/x" })), []);
         const refused = createRecord({ id: "call-3", status: 503, signature: undefined, text: "" });
         assert.deepEqual(check(refused), []);
     });
--- a/tests/version/applyConfiguration.test.ts
+++ b/tests/version/applyConfiguration.test.ts
@@ -112,7 +112,7 @@
         assert.deepEqual((await apply(store, 0, "x")).val, { version: 1, isReplaced: false });
     });
 
-    it("recognises an edit that took effect and was replaced", async () => {
+    it("recognizes an edit that took effect and was replaced", async () => {
         const store = MemoryStore.create();
         await apply(store, 0, "x");
         await apply(store, 1, "y");
