--- a/bench/admission/loadModel.ts
+++ b/bench/admission/loadModel.ts
@@ -75,7 +75,7 @@
     const sentAt = clock.getMonotonicTime();
     const abort = new AbortController();
     let endRun: (() => void) | undefined;
-    const patience = clock.setTimer(options.patienceMilliseconds, () => {
+    const disconnectTimer = clock.setTimer(options.patienceMilliseconds, () => {
         abort.abort();
         endRun?.();
     });
@@ -85,7 +85,7 @@
     options.gate({ customer: caller.customer, gate: "model", cost, deadline, signal: abort.signal }, release => {
         const startedAt = clock.getMonotonicTime();
         const run = clock.setTimer(caller.tokens * options.millisecondsPerToken, () => {
-            patience.cancel();
+            disconnectTimer.cancel();
             release(caller.tokens);
             result.observeFinish(caller, startedAt - sentAt, clock.getMonotonicTime());
         });
@@ -94,7 +94,7 @@
             release(Math.max(1, (clock.getMonotonicTime() - startedAt) / options.millisecondsPerToken));
         };
     }, retryAfterMilliseconds => {
-        patience.cancel();
+        disconnectTimer.cancel();
         result.observeRefusal(caller, clock.getMonotonicTime() - sentAt, retryAfterMilliseconds);
         if (caller.retries < options.maximumRetries) {
             caller.retries++;
--- a/bench/experiment/main.ts
+++ b/bench/experiment/main.ts
@@ -17,7 +17,7 @@
 const options = yargs(process.argv.slice(2))
     .usage("$0 FILE... [options]")
     .option("seeds", { type: "number", default: 3, describe: "Number of seeds to run." })
-    .option("without", { type: "string", default: "", describe: `Mechanisms to switch off: ${mechanisms.join(", ")}.` })
+    .option("without", { type: "string", default: "", describe: `Mechanisms to disable: ${mechanisms.join(", ")}.` })
     .option("windows", { type: "boolean", default: false, describe: "Print the figures of each time window." })
     .option("svg", { type: "string", describe: "Write a plot of the last experiment to this file." })
     .option("json", { type: "string", describe: "Write the result of each run to this file as a line of JSON." })
--- a/bench/experiment/mechanism.ts
+++ b/bench/experiment/mechanism.ts
@@ -1,4 +1,4 @@
-/** Mechanisms that an experiment can switch off to measure their effect. */
+/** Mechanisms that an experiment can disable to measure their effect. */
 export const Mechanism = {
     /** Gossip with more peers per round while nodes contend for engine memory. */
     FastGossip: "news",
--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -110,8 +110,8 @@
         for (const suspicion of health.getSuspicions(now)) {
             peer.environment.health.applySuspicion(suspicion, now);
         }
-        for (const run of quarantine.getCrashes(now)) {
-            peer.environment.quarantine.addPeerCrash(run);
+        for (const crash of quarantine.getCrashes(now)) {
+            peer.environment.quarantine.addPeerCrash(crash);
         }
     }
 
--- a/src/connection/caller/createRequestContext.ts
+++ b/src/connection/caller/createRequestContext.ts
@@ -33,7 +33,7 @@
     }
     const customer = current.customers.getCustomer(getApiKey(request));
     if (customer === undefined) {
-        const message = "The API key is not known. Send `Authorization: Bearer KEY` with a key of this service.";
+        const message = "No customer has this API key. Send `Authorization: Bearer KEY` with a key of this service.";
         return Err(RequestError.invalid(401, "invalid_api_key", message));
     }
     const id = createUuid();
--- a/src/process/router/endpointRegistry.ts
+++ b/src/process/router/endpointRegistry.ts
@@ -92,12 +92,12 @@
     /**
      * Handles the incarnation that an endpoint reported. If it is later than the registered one, the endpoint counts as
      * holding no layers until its own record says so. An earlier one is ignored.
-     * @param asked - The endpoint as it was known when the report was requested.
+     * @param requestedEndpoint - The endpoint as it was known when the report was requested.
      * @param incarnation - Start time of its process, in Unix milliseconds.
      */
-    handleIncarnation(asked: RegisteredEndpoint, incarnation: number): void {
+    handleIncarnation(requestedEndpoint: RegisteredEndpoint, incarnation: number): void {
         for (const [key, { endpoint: known }] of this.endpoints) {
-            if (known.registeredId !== asked.registeredId || incarnation <= known.incarnation) {
+            if (known.registeredId !== requestedEndpoint.registeredId || incarnation <= known.incarnation) {
                 continue;
             }
             const id = createEndpointKey(known.registeredId, incarnation);
--- a/src/request/admission/createDrainingRefusal.ts
+++ b/src/request/admission/createDrainingRefusal.ts
@@ -10,6 +10,6 @@
     return {
         kind: RefusalKind.Draining,
         retryAfterMilliseconds: random() * spreadMilliseconds,
-        message: "The node is shutting down and has not run the request. Send it again; another node will accept it.",
+        message: "This node is shutting down. Retry the request; another node will accept it.",
     };
 }
--- a/src/request/admission/start/startDecision.ts
+++ b/src/request/admission/start/startDecision.ts
@@ -1,5 +1,5 @@
 /** The decision on a request that asks to be started. */
-export type StartDecision<Place> =
-    | { kind: "start"; place: Place; }
+export type StartDecision<Reservation> =
+    | { kind: "start"; reservation: Reservation; }
     | { kind: "wait"; expectedMilliseconds: number; }
     | { kind: "refuse"; cause: string; retryAfterMilliseconds: number; };
--- a/src/request/admission/start/startQueue.ts
+++ b/src/request/admission/start/startQueue.ts
@@ -6,16 +6,16 @@
 import type { StartRequest } from "./startRequest.ts";
 
 /** A request in the queue. */
-interface WaitingRequest<Place> {
-    request: StartRequest<Place>;
+interface WaitingRequest<Reservation> {
+    request: StartRequest<Reservation>;
     /** Number of requests behind it in the order that were started before it. */
     bypassCount: number;
 }
 
 /** The decision on a request that was waiting. */
-interface ReviewedRequest<Place> {
-    request: StartRequest<Place>;
-    decision: StartDecision<Place>;
+interface ReviewedRequest<Reservation> {
+    request: StartRequest<Reservation>;
+    decision: StartDecision<Reservation>;
 }
 
 /**
@@ -48,12 +48,12 @@
  *
  * It reads no clock and does no I/O. Times are monotonic, in milliseconds.
  */
-export class StartQueue<Place> {
+export class StartQueue<Reservation> {
     private readonly drainRate = DrainRate.create();
     private readonly onTimeArrivals: SmoothedRate;
     private readonly retrySchedule: RetrySchedule;
     private readonly grantedRates = new Map<string, SmoothedRate>();
-    private waiting: WaitingRequest<Place>[] = [];
+    private waiting: WaitingRequest<Reservation>[] = [];
     private running = 0;
 
     private constructor(random: RandomSource, now: number) {
@@ -66,7 +66,7 @@
      * @param random - Source of the jitter of the retry delays.
      * @param now - Monotonic time in milliseconds.
      */
-    static create<Place>(random: RandomSource, now: number): StartQueue<Place> {
+    static create<Reservation>(random: RandomSource, now: number): StartQueue<Reservation> {
         return new StartQueue(random, now);
     }
 
@@ -81,15 +81,15 @@
     }
 
     /** Decides on a request that has just arrived. */
-    decideArrival(request: StartRequest<Place>, now: number): StartDecision<Place> {
+    decideArrival(request: StartRequest<Reservation>, now: number): StartDecision<Reservation> {
         if (isOnTime(request, now)) {
             this.onTimeArrivals.observe(now, request.cost);
         }
         const ahead = this.getRequestsAhead(request, now);
         if (ahead.every(({ bypassCount }) => bypassCount < maximumBypassCount)) {
-            const place = this.tryStart(request, now, ahead);
-            if (place !== undefined) {
-                return { kind: "start", place };
+            const reservation = this.tryStart(request, now, ahead);
+            if (reservation !== undefined) {
+                return { kind: "start", reservation };
             }
         }
         if (!request.isServable()) {
@@ -116,22 +116,24 @@
      * Decides again on the waiting requests, after capacity was released, endpoints were added or removed, or time has passed.
      * @returns The decisions on the requests that no longer wait.
      */
-    review(now: number): ReviewedRequest<Place>[] {
-        const reviewed: ReviewedRequest<Place>[] = [];
+    review(now: number): ReviewedRequest<Reservation>[] {
+        const reviewed: ReviewedRequest<Reservation>[] = [];
         const ordered = this.waiting.toSorted((left, right) => this.compare(left.request, right.request, now));
-        const stillWaiting: WaitingRequest<Place>[] = [];
-        let smallestUnplacedCost = Infinity;
+        const stillWaiting: WaitingRequest<Reservation>[] = [];
+        let smallestUnreservedCost = Infinity;
         for (const waiting of ordered) {
             const { request } = waiting;
             const isBlocked = stillWaiting.some(({ bypassCount }) => bypassCount >= maximumBypassCount);
-            const place = isBlocked || request.cost >= smallestUnplacedCost
+            const reservation = isBlocked || request.cost >= smallestUnreservedCost
                 ? undefined
                 : this.tryStart(request, now, stillWaiting);
-            if (place !== undefined) {
-                reviewed.push({ request, decision: { kind: "start", place } });
+            if (reservation !== undefined) {
+                reviewed.push({ request, decision: { kind: "start", reservation } });
                 continue;
             }
-            smallestUnplacedCost = isBlocked ? smallestUnplacedCost : Math.min(smallestUnplacedCost, request.cost);
+            smallestUnreservedCost = isBlocked
+                ? smallestUnreservedCost
+                : Math.min(smallestUnreservedCost, request.cost);
             if (
                 now >= request.latestStart || !isOnTime(request, now) && !this.canServeLate(request, stillWaiting, now)
             ) {
@@ -158,7 +160,7 @@
     }
 
     /** Removes a request whose caller has disconnected. */
-    remove(request: StartRequest<Place>): void {
+    remove(request: StartRequest<Reservation>): void {
         this.waiting = this.waiting.filter(waiting => waiting.request !== request);
     }
 
@@ -180,9 +182,13 @@
         this.running += 1;
     }
 
-    private tryStart(request: StartRequest<Place>, now: number, bypassed: WaitingRequest<Place>[]): Place | undefined {
-        const place = request.tryReserve();
-        if (place === undefined) {
+    private tryStart(
+        request: StartRequest<Reservation>,
+        now: number,
+        bypassed: WaitingRequest<Reservation>[],
+    ): Reservation | undefined {
+        const reservation = request.tryReserve();
+        if (reservation === undefined) {
             return undefined;
         }
         for (const waiting of bypassed) {
@@ -190,10 +196,10 @@
         }
         this.running += 1;
         this.getOrAddGrantedRate(request.customer, now).observe(now, request.cost);
-        return place;
+        return reservation;
     }
 
-    private refuse(request: StartRequest<Place>, cause: string, now: number): StartDecision<Place> {
+    private refuse(request: StartRequest<Reservation>, cause: string, now: number): StartDecision<Reservation> {
         const throughput = this.drainRate.getRate(this.running);
         const rate = throughput
             && Math.max(throughput * minimumRetryFraction, throughput - this.getOnTimeArrivalRate(now));
@@ -209,14 +215,14 @@
         return { kind: "refuse", cause, retryAfterMilliseconds };
     }
 
-    private getRequestsAhead(request: StartRequest<Place>, now: number): WaitingRequest<Place>[] {
+    private getRequestsAhead(request: StartRequest<Reservation>, now: number): WaitingRequest<Reservation>[] {
         return this.waiting.filter(other => this.compare(other.request, request, now) <= 0);
     }
 
     /** Estimates the wait of a request in milliseconds, from the cost of the requests ahead of it and the throughput. */
     private getExpectedWait(
-        request: StartRequest<Place>,
-        ahead: readonly WaitingRequest<Place>[],
+        request: StartRequest<Reservation>,
+        ahead: readonly WaitingRequest<Reservation>[],
         now: number,
     ): number {
         const throughput = this.drainRate.getRate(this.running);
@@ -232,7 +238,11 @@
         return rate > 0 ? cost / rate : Infinity;
     }
 
-    private canServeLate(request: StartRequest<Place>, ahead: readonly WaitingRequest<Place>[], now: number): boolean {
+    private canServeLate(
+        request: StartRequest<Reservation>,
+        ahead: readonly WaitingRequest<Reservation>[],
+        now: number,
+    ): boolean {
         return this.getExpectedWait(request, ahead, now) <= getRemainingWait(request, now);
     }
 
@@ -242,7 +252,7 @@
     }
 
     /** Orders by rank, then requests that can meet their objective first, then by work granted to the customer, then by time. */
-    private compare(left: StartRequest<Place>, right: StartRequest<Place>, now: number): number {
+    private compare(left: StartRequest<Reservation>, right: StartRequest<Reservation>, now: number): number {
         const rank = left.rank - right.rank;
         if (rank !== 0) {
             return rank;
--- a/src/request/admission/start/startRequest.ts
+++ b/src/request/admission/start/startRequest.ts
@@ -1,5 +1,5 @@
 /** A request that asks to be started. */
-export interface StartRequest<Place> {
+export interface StartRequest<Reservation> {
     /** Rank; lower ranks go first. */
     rank: number;
     customer: string | undefined;
@@ -12,7 +12,7 @@
     /** Maximum retry delay that its caller follows, in milliseconds. */
     maximumRetryMilliseconds: number;
     /** Finds and reserves the capacity that it needs to run; undefined if there is not enough. */
-    tryReserve(): Place | undefined;
+    tryReserve(): Reservation | undefined;
     /** Gets whether the endpoints could serve it if nothing else were running. */
     isServable(): boolean;
     /**
--- a/src/request/relay/limits/limitSharers.ts
+++ b/src/request/relay/limits/limitSharers.ts
@@ -1,8 +1,8 @@
 /** The nodes that share an endpoint's rate limit. */
 export interface LimitSharers {
     count: number;
-    /** Whether these are all live nodes. */
+    /** Whether they are all live nodes. */
     includesAllNodes: boolean;
-    /** Whether this node is one of them. */
+    /** Whether they include this node. */
     includesThisNode: boolean;
 }
--- a/src/request/relay/queuedRelay.ts
+++ b/src/request/relay/queuedRelay.ts
@@ -5,7 +5,7 @@
 export interface QueuedRelay extends StartRequest<ReservedChain> {
     requestId: string;
     /** Called with the chain that was reserved for the request. */
-    start(place: ReservedChain): void;
+    start(reservedChain: ReservedChain): void;
     /** Called when the request is rejected. */
     refuse(cause: string, retryAfterMilliseconds: number): void;
 }
--- a/src/request/relay/relayQueue.ts
+++ b/src/request/relay/relayQueue.ts
@@ -140,7 +140,7 @@
 
     private execute(relay: QueuedRelay, decision: StartDecision<ReservedChain>): void {
         if (decision.kind === "start") {
-            relay.start(decision.place);
+            relay.start(decision.reservation);
         }
         if (decision.kind === "refuse") {
             relay.refuse(decision.cause, decision.retryAfterMilliseconds);
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -193,10 +193,10 @@
             task,
             chains,
             avoided,
-            isRetry: isRetry,
-            start: place => {
+            isRetry,
+            start: reservedChain => {
                 this.queuedRelay = undefined;
-                this.startReserved(place, cause);
+                this.startReserved(reservedChain, cause);
             },
             refuse: (reason, retryAfterMilliseconds) => {
                 this.queuedRelay = undefined;
@@ -207,14 +207,14 @@
     }
 
     /** Starts a queued request on its reserved chain, unless the request was quarantined while it waited. */
-    private startReserved(place: ReservedChain, cause: string): void {
+    private startReserved(reservedChain: ReservedChain, cause: string): void {
         if (this.endIfHeld(cause)) {
             this.environment.queue.noteEnd(this.chains.getTokens(), undefined);
-            this.chains.refundLimit(place.stages);
-            place.reservation.release();
+            this.chains.refundLimit(reservedChain.stages);
+            reservedChain.reservation.release();
             return;
         }
-        this.beginAttempt(place);
+        this.beginAttempt(reservedChain);
     }
 
     /** Ends the request if it is held back. Returns whether it is. */
--- a/tests/request/admission/start/startQueue.test.ts
+++ b/tests/request/admission/start/startQueue.test.ts
@@ -51,7 +51,10 @@
 describe("StartQueue", () => {
     it("starts requests while there is capacity and queues the others", () => {
         const fixture = createFixture(100);
-        assert.deepEqual(fixture.queue.decideArrival(fixture.create("first"), 0), { kind: "start", place: "first" });
+        assert.deepEqual(fixture.queue.decideArrival(fixture.create("first"), 0), {
+            kind: "start",
+            reservation: "first",
+        });
         assert.equal(fixture.queue.decideArrival(fixture.create("second"), 0).kind, "wait");
         fixture.freeTokens = 100;
         assert.deepEqual(fixture.review(10), ["start second"]);
--- a/tests/request/relay/limits/endpointLimits.test.ts
+++ b/tests/request/relay/limits/endpointLimits.test.ts
@@ -76,16 +76,16 @@
 
     it("applies a peer's report if it is newer, also about the end of a limit", () => {
         const { limits } = create();
-        const tell = (requestsPerSecond: number | undefined, at: number, now: number) =>
+        const report = (requestsPerSecond: number | undefined, at: number, now: number) =>
             limits.applyReports("peer", [{ endpointId: "x", requestsPerSecond, at, demand: 1 }], now);
-        tell(2, 1_000, 1_000);
+        report(2, 1_000, 1_000);
         assert.ok(limits.isLimited("x"));
         limits.noteAnswer("x", undefined, 2_000);
-        tell(2, 1_500, 2_100);
+        report(2, 1_500, 2_100);
         assert.ok(!limits.isLimited("x"));
-        tell(2, 2_500, 2_600);
+        report(2, 2_500, 2_600);
         assert.ok(limits.isLimited("x"));
-        tell(undefined, 3_000, 3_000);
+        report(undefined, 3_000, 3_000);
         assert.ok(!limits.isLimited("x"));
         assert.equal(limits.listReports(4_000)[0]!.requestsPerSecond, undefined);
         assert.deepEqual(limits.listReports(14_000), []);
