--- a/tests/process/router/chooseLimitSharers.test.ts
+++ b/tests/process/router/chooseLimitSharers.test.ts
@@ -12,10 +12,10 @@
         owners = await RendezvousOwners.create();
     });
 
-    const choose = (nodeId: string, most: number, id = "x") =>
-        chooseLimitSharers({ endpoint: { id, dataCentre: "a" }, maximumSharers: most, nodeId, nodes, owners });
-    const list = (most: number, id?: string) =>
-        nodes.map(({ nodeId }) => nodeId).filter(nodeId => choose(nodeId, most, id).includesThisNode);
+    const choose = (nodeId: string, maximumSharers: number, id = "x") =>
+        chooseLimitSharers({ endpoint: { id, dataCentre: "a" }, maximumSharers, nodeId, nodes, owners });
+    const list = (maximumSharers: number, id?: string) =>
+        nodes.map(({ nodeId }) => nodeId).filter(nodeId => choose(nodeId, maximumSharers, id).includesThisNode);
 
     it("chooses all nodes if they are few", () => {
         assert.deepEqual(choose("n3", 12), { count: 12, includesAllNodes: true, includesThisNode: true });
