--- a/src/process/placement/chooseLoads.ts
+++ b/src/process/placement/chooseLoads.ts
@@ -23,7 +23,7 @@
  * The limit is meant for the loss of a fifth of the endpoints under full traffic. If all loads run concurrently, they
  * end at the same time, and until then there may be no data centre with a complete chain. One after the other they take
  * as long in total, but the data centre that lacks the fewest columns can serve after the first load.
- * @returns The assignments to order, with the data centre that lacks the fewest columns first and whole columns before
+ * @returns The assignments to order, with the data centre that lacks the fewest columns first and complete columns before
  * parts.
  */
 export function chooseLoads(
@@ -38,10 +38,12 @@
     const dataCentres = new Map(endpoints.map(({ id, dataCentre }) => [id, dataCentre]));
     const ranked = assignments.map(assignment => {
         const dataCentre = dataCentres.get(assignment.endpointId);
-        const isWhole = columns.some(({ layers }) => isSameRange(assignment.layers, layers));
-        return { assignment, missing: countMissingColumns(columns, endpoints, dataCentre), isWhole };
+        const isCompleteColumn = columns.some(({ layers }) => isSameRange(assignment.layers, layers));
+        return { assignment, missing: countMissingColumns(columns, endpoints, dataCentre), isCompleteColumn };
     });
-    ranked.sort((left, right) => left.missing - right.missing || Number(right.isWhole) - Number(left.isWhole));
+    ranked.sort((left, right) =>
+        left.missing - right.missing || Number(right.isCompleteColumn) - Number(left.isCompleteColumn)
+    );
     return ranked.slice(0, Math.max(0, loadsAtOnce - activeLoads)).map(({ assignment }) => assignment);
 }
 
--- a/src/request/relay/limits/limitSharers.ts
+++ b/src/request/relay/limits/limitSharers.ts
@@ -1,8 +1,8 @@
 /** The nodes that share an endpoint's rate limit. */
 export interface LimitSharers {
     count: number;
-    /** Whether these are all live nodes. */
-    areAll: boolean;
-    /** Whether this node is one of them. */
-    isOneOfThem: boolean;
+    /** Whether they are all live nodes. */
+    includesAllNodes: boolean;
+    /** Whether they include this node. */
+    includesThisNode: boolean;
 }
--- a/src/request/relay/streamRelay.ts
+++ b/src/request/relay/streamRelay.ts
@@ -5,6 +5,7 @@
 import type { EngineModel } from "../../version/routing/engineModel.ts";
 import type { AnswerHead } from "./answerHead.ts";
 import { AttemptLimit } from "./attemptLimit.ts";
+import type { CompleteAnswer } from "./completeAnswer.ts";
 import { createQueuedRelay } from "./createQueuedRelay.ts";
 import { createRefusal } from "./createRefusal.ts";
 import { EventVerdict } from "./eventVerdict.ts";
@@ -19,7 +20,7 @@
 import type { RelayStage } from "./relayStage.ts";
 import type { RelayTask } from "./relayTask.ts";
 import type { ReservedChain } from "./reservedChain.ts";
-import { sendWholeAnswer } from "./sendWholeAnswer.ts";
+import { sendCompleteAnswer } from "./sendCompleteAnswer.ts";
 import type { StreamAnswerEnd } from "./streamAnswerEnd.ts";
 import { StreamAnswerReader } from "./streamAnswerReader.ts";
 import type { StreamAttempt } from "./streamAttempt.ts";
@@ -27,7 +28,6 @@
 import type { StreamEvent } from "./streamEvent.ts";
 import { StreamLogger } from "./streamLogger.ts";
 import { StreamProgress } from "./streamProgress.ts";
-import type { WholeAnswer } from "./wholeAnswer.ts";
 
 /** A request that crashes the endpoint that runs it does so within a few steps. After this time it is considered safe. */
 const safeAfterMilliseconds = 250;
@@ -50,7 +50,7 @@
     private timer: TimerHandle | undefined;
     private attempt: StreamAttempt | undefined;
     private queuedRelay: QueuedRelay | undefined;
-    private failureAnswer: WholeAnswer | undefined;
+    private failureAnswer: CompleteAnswer | undefined;
     /** Monotonic time in milliseconds at which the first byte was sent to an endpoint. */
     private firstSentAt: number | undefined;
     private mayHaveRun = false;
@@ -92,7 +92,7 @@
         sink.onClosed(() => this.finish("callerGone"));
         const delay = Math.max(0, dueAt - this.getTime());
         this.timer = this.environment.clock.setTimer(delay, () => this.handleTimeout());
-        this.startAttempt("no chain of endpoints has room.");
+        this.startAttempt("no chain of endpoints has free capacity.");
     }
 
     /** Gets the chain in use; undefined between attempts. */
@@ -193,10 +193,10 @@
             task,
             chains,
             avoided,
-            isRetry: isRetry,
-            start: place => {
+            isRetry,
+            start: reservedChain => {
                 this.queuedRelay = undefined;
-                this.startReserved(place, cause);
+                this.startReserved(reservedChain, cause);
             },
             refuse: (reason, retryAfterMilliseconds) => {
                 this.queuedRelay = undefined;
@@ -207,14 +207,14 @@
     }
 
     /** Starts a queued request on its reserved chain, unless the request was quarantined while it waited. */
-    private startReserved(place: ReservedChain, cause: string): void {
+    private startReserved(reservedChain: ReservedChain, cause: string): void {
         if (this.endIfHeld(cause)) {
             this.environment.queue.noteEnd(this.chains.getTokens(), undefined);
-            this.chains.refundLimit(place.stages);
-            place.reservation.release();
+            this.chains.refundLimit(reservedChain.stages);
+            reservedChain.reservation.release();
             return;
         }
-        this.beginAttempt(place);
+        this.beginAttempt(reservedChain);
     }
 
     /** Ends the request if it is held back. Returns whether it is. */
@@ -226,13 +226,13 @@
         return hold !== undefined;
     }
 
-    /** Continues a stream that has begun. It does not wait for room, since its caller would give up. */
+    /** Continues a stream that has begun. It does not wait for free capacity, since its caller would give up. */
     private resume(cause: string, isRetry: boolean): void {
         const { environment, chains, avoided, task } = this;
         environment.limits.noteRequest(task.service.name, this.getTime());
-        const stages = chains.chooseWithinLimits({ avoid: avoided, mayOvercommit: true, closed: new Set() });
+        const stages = chains.chooseWithinLimits({ avoid: avoided, mayOvercommit: true, rateLimited: new Set() });
         if (stages === undefined) {
-            this.giveUp(`${cause} No other chain has room.`);
+            this.giveUp(`${cause} No other chain has free capacity.`);
             return;
         }
         if (isRetry && !environment.retryBudget.takeRetry(this.getTime())) {
@@ -245,8 +245,8 @@
     }
 
     private reject(cause: string, retryAfterMilliseconds: number): void {
-        const { log, deadlines } = this.environment;
-        deadlines.observeRefusal(this.getTime());
+        const { log, retryDetector } = this.environment;
+        retryDetector.observeRefusal(this.getTime());
         log.write(events.relayRejectedAtCapacity, {
             request: this.task.request.id,
             cause,
@@ -312,7 +312,7 @@
         }
         if (attempt.firstEventAt === undefined) {
             attempt.firstEventAt = now;
-            this.environment.crossingDelays.recordFirstEvent(
+            this.environment.linkDelays.recordFirstEvent(
                 listDataCentres(attempt.stages),
                 now - attempt.sentAt,
                 now,
@@ -458,7 +458,7 @@
             return;
         }
         if (failureAnswer !== undefined) {
-            sendWholeAnswer(this.task.sink, failureAnswer);
+            sendCompleteAnswer(this.task.sink, failureAnswer);
             this.finish("endpointFailed", cause);
             return;
         }
@@ -472,7 +472,7 @@
             return;
         }
         const isNotRun = !this.mayHaveRun && this.attempt?.exchange?.getSentTime() === undefined;
-        this.refuse(isNotRun ? createRefusal.notRun("no chain had room in time.") : createRefusal.timedOut());
+        this.refuse(isNotRun ? createRefusal.notRun("no chain had free capacity in time.") : createRefusal.timedOut());
     }
 
     private refuse(refusal: RelayRefusal): void {
--- a/tests/request/relay/linkPacer.test.ts
+++ b/tests/request/relay/linkPacer.test.ts
@@ -9,39 +9,39 @@
 const transferTime = getTransferTime(relayModel, tokens);
 const nodeCount = 17;
 
-describe("PipeShares", () => {
+describe("LinkPacer", () => {
     it("delays a request behind earlier ones on the same link in the same direction", () => {
-        const shares = LinkPacer.create(() => 1);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        assert.equal(shares.getWait("a", "b", 0), 0);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        assert.ok(shares.getWait("a", "b", 0) >= transferTime);
-        assert.equal(shares.getWait("b", "a", 0), 0);
-        assert.equal(shares.getWait("a", "c", 0), 0);
-        assert.equal(shares.getWait("a", "b", 10 * transferTime), 0);
+        const pacer = LinkPacer.create(() => 1);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        assert.equal(pacer.getWait("a", "b", 0), 0);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        assert.ok(pacer.getWait("a", "b", 0) >= transferTime);
+        assert.equal(pacer.getWait("b", "a", 0), 0);
+        assert.equal(pacer.getWait("a", "c", 0), 0);
+        assert.equal(pacer.getWait("a", "b", 10 * transferTime), 0);
     });
 
     it("gives each node a smaller share if there are more nodes", () => {
-        const shares = LinkPacer.create(() => 1 / nodeCount);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        shares.reserve("a", "b", relayModel, tokens, 0);
-        assert.ok(shares.getWait("a", "b", 0) >= nodeCount * transferTime);
+        const pacer = LinkPacer.create(() => 1 / nodeCount);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        pacer.reserve("a", "b", relayModel, tokens, 0);
+        assert.ok(pacer.getWait("a", "b", 0) >= nodeCount * transferTime);
     });
 
     /**
-     * Guards against a congested link: if no data centre holds a whole chain for five seconds, all requests cross the same link, three
+     * Guards against a congested link: if no data centre holds a complete chain for five seconds, all requests use the same link, three
      * times as many as it carries. Without pacing, each request queues behind the prompts of all earlier ones, and nearly all callers give
      * up (337 of 339 requests).
      */
     it("keeps requests on a link in time at three times its capacity", () => {
         const { started, late } = simulateLink(3);
-        assert.ok(started > 0.6, `${started} of what the pipe carries`);
+        assert.ok(started > 0.6, `${started} of the capacity of the link`);
         assert.ok(late < 0.05, `${late} of those that started`);
     });
 
     it("does not delay requests on a link at half of its capacity", () => {
         const { started, late } = simulateLink(0.5);
-        assert.ok(started > 0.45, `${started} of what the pipe carries`);
+        assert.ok(started > 0.45, `${started} of the capacity of the link`);
         assert.ok(late < 0.05, `${late} of those that started`);
     });
 });
