--- a/bench/experiment/simulatedNode.ts
+++ b/bench/experiment/simulatedNode.ts
@@ -46,7 +46,7 @@
         const log = { write: () => undefined };
         const queue = RelayQueue.create({ clock, random, log });
         const loads = EndpointLoads.create(() => queue.wake());
-        const deadlines = RetryDetector.create();
+        const retryDetector = RetryDetector.create();
         const health = EndpointHealth.create();
         const quarantine = RequestQuarantine.create({
             log,
@@ -68,23 +68,23 @@
             directory,
             loads,
             health,
-            refusals: { note: () => Promise.resolve() },
+            refusalDetector: { check: () => Promise.resolve() },
             limits: EndpointLimits.create({
                 log,
                 random,
-                chooseSharers: () => ({ count: 1, areAll: true, isOneOfThem: true }),
+                chooseSharers: () => ({ count: 1, includesAllNodes: true, includesThisNode: true }),
             }),
             quarantine,
             retryBudget: RetryBudget.create(clock.getMonotonicTime(), () => retryBudgetPolicy),
             queue,
             firstEvents: FirstEventTimes.create(),
-            deadlines,
-            crossingDelays: LinkDelays.create(),
+            retryDetector,
+            linkDelays: LinkDelays.create(),
             linkTraffic: LinkTraffic.create(),
             linkPacer: LinkPacer.create(() => loads.getDemandShare(queue.getDemand(), nodeCount)),
             getNodeCount: () => nodeCount,
         };
-        this.switchOffMechanisms(loads, deadlines, queue);
+        this.disableMechanisms(loads, retryDetector, queue);
     }
 
     /** Creates a node without requests. */
@@ -110,12 +110,12 @@
         for (const suspicion of health.getSuspicions(now)) {
             peer.environment.health.applySuspicion(suspicion, now);
         }
-        for (const run of quarantine.getCrashes(now)) {
-            peer.environment.quarantine.addPeerCrash(run);
+        for (const crash of quarantine.getCrashes(now)) {
+            peer.environment.quarantine.addPeerCrash(crash);
         }
     }
 
-    private switchOffMechanisms(loads: EndpointLoads, deadlines: RetryDetector, queue: RelayQueue): void {
+    private disableMechanisms(loads: EndpointLoads, retryDetector: RetryDetector, queue: RelayQueue): void {
         if (this.without.has(Mechanism.MemoryLimit)) {
             loads.getAvailableMemory = (endpointId, total) => total - loads.getLoad(endpointId).tokenLayers;
         }
@@ -123,11 +123,11 @@
             loads.markFull = (endpointId, now) => this.environment.health.markUnavailable(endpointId, now);
         }
         if (this.without.has(Mechanism.RetryDetection)) {
-            deadlines.observeRequest = () => false;
+            retryDetector.observeRequest = () => false;
         }
         if (this.without.has(Mechanism.Timeliness)) {
-            const { submit: ask } = queue;
-            queue.submit = relay => ask.call(queue, { ...relay, latestOnTimeStart: Infinity });
+            const { submit } = queue;
+            queue.submit = relay => submit.call(queue, { ...relay, latestOnTimeStart: Infinity });
         }
     }
 }
--- a/src/connection/endpoint/endpointObserver.ts
+++ b/src/connection/endpoint/endpointObserver.ts
@@ -16,7 +16,7 @@
      * Gets the factor by which the intervals of infrequent work grow with the number of nodes, so that its total over
      * all nodes stays constant. It is 1 for few nodes.
      */
-    getStretch(): number;
+    getIntervalFactor(): number;
     /** Checks if this node is an observer of an endpoint. */
     isObserver(endpoint: string): boolean;
     /** Called with each status of an engine. */
@@ -32,7 +32,7 @@
 }
 
 const jitterShare = 0.2;
-/** An unchanged report is published again after this time, multiplied by the stretch. */
+/** An unchanged report is published again after this time, multiplied by the interval factor. */
 const refreshMilliseconds = 5_000;
 /** A change of the queue depth is published only if it exceeds both this share and this number of passes. */
 const queueChangeShare = 0.25;
@@ -62,7 +62,7 @@
             return;
         }
         // An engine may be unreachable only for this node, so this node also checks those that it doesn't observe.
-        const isUnreachableRound = this.round % Math.ceil(this.options.getStretch()) === 0;
+        const isUnreachableRound = this.round % Math.ceil(this.options.getIntervalFactor()) === 0;
         this.round += 1;
         for (const endpoint of this.options.directory.getNames("engine")) {
             const isUnreachable = this.options.directory.getState(endpoint)?.state === "unreachable";
@@ -141,7 +141,7 @@
         const now = this.options.clock.getMonotonicTime();
         const last = this.published.get(report.endpoint);
         if (
-            last !== undefined && now - last.publishedAt < refreshMilliseconds * this.options.getStretch()
+            last !== undefined && now - last.publishedAt < refreshMilliseconds * this.options.getIntervalFactor()
             && !hasChanged(last.report, report)
         ) {
             return;
--- a/src/request/relay/relayEnvironment.ts
+++ b/src/request/relay/relayEnvironment.ts
@@ -29,15 +29,15 @@
     directory: RelayDirectory;
     loads: EndpointLoads;
     health: EndpointHealth;
-    refusals: Pick<RefusalDetector, "note">;
+    refusalDetector: Pick<RefusalDetector, "check">;
     /** Rate limits that endpoints set for all nodes together. */
     limits: EndpointLimits;
     retryBudget: RetryBudget;
     quarantine: RequestQuarantine;
     queue: RelayQueue;
     firstEvents: FirstEventTimes;
-    deadlines: RetryDetector;
-    crossingDelays: LinkDelays;
+    retryDetector: RetryDetector;
+    linkDelays: LinkDelays;
     /** Traffic between data centres caused by this node's requests. */
     linkTraffic: LinkTraffic;
     linkPacer: LinkPacer;
--- a/src/request/relay/stageQuery.ts
+++ b/src/request/relay/stageQuery.ts
@@ -8,14 +8,14 @@
     answerTokens: number;
     /** Data centre of the node that the caller is connected to. */
     dataCentre: string;
-    /** Whether endpoints without room for the request may be chosen. An endpoint that runs out of memory preempts running streams. */
+    /** Whether endpoints without enough free memory may be chosen. An endpoint that runs out of memory preempts running streams. */
     mayOvercommit: boolean;
     /** Fraction of each endpoint's memory that must stay free for other requests, 0 to 1. */
     spareFraction: number;
     /** Utilization of the links between data centres, 0 to 1. */
     linkUtilization: number;
     /** Gets the recently observed delay that a link between data centres adds to first events, in milliseconds. */
-    getCrossingDelay(from: string, to: string): number;
+    getLinkDelay(from: string, to: string): number;
     /** Gets how long this node's share of the link from one data centre to another stays occupied, in milliseconds. */
     getLinkWait(from: string, to: string): number;
     /** Checks if a connection to an endpoint's address is open and idle. */
--- a/src/request/relay/stallDetector.ts
+++ b/src/request/relay/stallDetector.ts
@@ -138,14 +138,14 @@
      * congested, and sending it again would add to the congestion.
      */
     private reviewUnexplained(relay: StreamRelay, first: RegisteredEndpoint, now: number): void {
-        const { crossingDelays } = this.options.environment;
+        const { linkDelays } = this.options.environment;
         const dataCentres = relay.getDataCentres();
         if (!relay.hasEvents()) {
-            crossingDelays.recordFirstEvent(dataCentres, now - (relay.getSentAt() ?? now), now);
+            linkDelays.recordFirstEvent(dataCentres, now - (relay.getSentAt() ?? now), now);
         }
         const isOverdue = now - (relay.getLastProgress() ?? now) > abandonMilliseconds;
         if (isOverdue && this.hasProgressingStream(dataCentres.join(), now)) {
-            this.abandon(relay, first.id, "the chain is silent while others go on.");
+            this.abandon(relay, first.id, "the chain is silent while others make progress.");
         }
     }
 
--- a/tests/request/relay/limits/endpointLimits.test.ts
+++ b/tests/request/relay/limits/endpointLimits.test.ts
@@ -13,22 +13,22 @@
 }
 
 describe("EndpointLimits", () => {
-    function create(sharers = { count: 1, areAll: true, isOneOfThem: true }) {
+    function create(sharers = { count: 1, includesAllNodes: true, includesThisNode: true }) {
         const lines: unknown[] = [];
-        let news = 0;
+        let changeCount = 0;
         const limits = EndpointLimits.create({
             log: { write: (_event, fields) => lines.push(fields) },
             random: () => 0.5,
             chooseSharers: () => sharers,
-            onSignificantChange: () => news++,
+            onSignificantChange: () => changeCount++,
         });
-        return { lines, limits, countNews: () => news };
+        return { lines, limits, getChangeCount: () => changeCount };
     }
 
     const endpoint = createEndpoint("x", { kind: "middle" });
 
     it("logs and reports when an endpoint starts, changes and ends its limit, but no repetitions", () => {
-        const { lines, limits, countNews } = create();
+        const { lines, limits, getChangeCount } = create();
         for (const rate of [undefined, 2, 2, 3.5, undefined, undefined]) {
             limits.noteAnswer("x", rate, 0);
         }
@@ -38,7 +38,7 @@
             { ...line, isLimited: true, requestsPerSecond: 3.5, before: 2 },
             { ...line, isLimited: false, requestsPerSecond: 0, before: 3.5 },
         ]);
-        assert.equal(countNews(), 3);
+        assert.equal(getChangeCount(), 3);
     });
 
     it("removes endpoints that are no longer registered", () => {
@@ -50,7 +50,7 @@
     });
 
     it("allows all requests without a limit, and none if only other nodes share the limit", () => {
-        const { limits } = create({ count: 7, areAll: false, isOneOfThem: false });
+        const { limits } = create({ count: 7, includesAllNodes: false, includesThisNode: false });
         assert.ok(limits.take(endpoint, 0));
         limits.noteAnswer("x", 2, 0);
         assert.ok(!limits.take(endpoint, 10_000));
@@ -76,16 +76,16 @@
 
     it("applies a peer's report if it is newer, also about the end of a limit", () => {
         const { limits } = create();
-        const tell = (requestsPerSecond: number | undefined, at: number, now: number) =>
+        const report = (requestsPerSecond: number | undefined, at: number, now: number) =>
             limits.applyReports("peer", [{ endpointId: "x", requestsPerSecond, at, demand: 1 }], now);
-        tell(2, 1_000, 1_000);
+        report(2, 1_000, 1_000);
         assert.ok(limits.isLimited("x"));
         limits.noteAnswer("x", undefined, 2_000);
-        tell(2, 1_500, 2_100);
+        report(2, 1_500, 2_100);
         assert.ok(!limits.isLimited("x"));
-        tell(2, 2_500, 2_600);
+        report(2, 2_500, 2_600);
         assert.ok(limits.isLimited("x"));
-        tell(undefined, 3_000, 3_000);
+        report(undefined, 3_000, 3_000);
         assert.ok(!limits.isLimited("x"));
         assert.equal(limits.listReports(4_000)[0]!.requestsPerSecond, undefined);
         assert.deepEqual(limits.listReports(14_000), []);
@@ -95,9 +95,9 @@
         const { limits } = create();
         limits.noteAnswer("x", 2, 0);
         limits.take(endpoint, 0);
-        const returns = Array.from({ length: 4 }, () => limits.bookRetry(["x"], 0));
-        assert.ok(returns[0]! < 1_000, String(returns));
-        assert.ok(returns[3]! > 1_500 && returns[3]! < 4_000, String(returns));
+        const delays = Array.from({ length: 4 }, () => limits.bookRetry(["x"], 0));
+        assert.ok(delays[0]! < 1_000, String(delays));
+        assert.ok(delays[3]! > 1_500 && delays[3]! < 4_000, String(delays));
     });
 
     for (const [nodes, requestsPerSecond] of [[2, 40], [6, 55], [9, 55], [63, 240]] as const) {
